--- a/Services/Node/NodeProcess.cpp
+++ b/Services/Node/NodeProcess.cpp
@@ -102,7 +102,7 @@
       })
 {
   mContext.mSelf.mName = mSettings.mNodeName;
-  mContext.mSelf.mZone = mSettings.mZone;
+  mContext.mSelf.mDataCentre = mSettings.mDataCentre;
   mContext.mSelf.mRegion = mSettings.mRegion;
   mContext.mSelf.mIncarnation = UnixMs();
   mContext.mSelf.mMilliCores = mSettings.mMilliCores;
@@ -265,7 +265,8 @@
   }
   mLog.Write(LogLevel::Notice,
              "started",
-             "node=" + mSettings.mNodeName + " data_centre=" + mSettings.mZone +
+             "node=" + mSettings.mNodeName +
+               " data_centre=" + mSettings.mDataCentre +
                " incarnation=" + std::to_string(mContext.mSelf.mIncarnation) +
                " milli_cores=" + std::to_string(mSettings.mMilliCores),
              now);
--- a/Tests/Platform/TestDirectory.cpp
+++ b/Tests/Platform/TestDirectory.cpp
@@ -104,7 +104,7 @@
   Put(port, store, "evacuate/zone", "{}");
   read();
   CHECK_TRUE(state && !state->mConfiguration);
-  LONGS_EQUAL(1, state->mEvacuatedZones.size());
+  LONGS_EQUAL(1, state->mEvacuatedDataCentres.size());
   LONGS_EQUAL(1, reads);
   // A store without the history is read in full once more.
   store.mForget = true;
@@ -112,6 +112,6 @@
   CHECK_FALSE(state.has_value());
   read();
   CHECK_TRUE(state && state->mConfiguration);
-  LONGS_EQUAL(1, state->mEvacuatedZones.size());
+  LONGS_EQUAL(1, state->mEvacuatedDataCentres.size());
   LONGS_EQUAL(2, reads);
 }
