--- a/Libraries/LibDispatch/Actions.h
+++ b/Libraries/LibDispatch/Actions.h
@@ -9,14 +9,17 @@
 
 namespace paddle::dispatch {
 
+/// Order to a runner to start a run of a task.
 struct StartTask
 {
   RunnerIndex mRunner = kNoRunner;
   TaskRef mTask;
   std::int64_t mRun = 0;
-  std::int64_t mLeaseEndMs = 0; ///< On the runner's clock.
+  std::int64_t mLeaseEndMs =
+    0; ///< End of the run's lease on the runner's clock.
 };
 
+/// Order to a runner to stop a run.
 struct StopTask
 {
   RunnerIndex mRunner = kNoRunner;
@@ -24,6 +27,7 @@
   std::int64_t mRun = 0;
 };
 
+/// Order to a runner to throttle a run to a share of its full speed.
 struct PaceTask
 {
   RunnerIndex mRunner = kNoRunner;
--- a/Libraries/LibDispatch/DispatchSettings.h
+++ b/Libraries/LibDispatch/DispatchSettings.h
@@ -6,47 +6,58 @@
 
 namespace paddle::dispatch {
 
-/// Limits of the dispatcher. Defaults hold where the deployment states none.
+/// Limits and intervals of the dispatcher. The defaults apply where the
+/// deployment sets none.
 struct DispatchSettings
 {
-  /// Longest lease that runners grant; the deployment's bound.
+  /// Longest lease that a runner may be granted. The deployment sets it.
   Millis mMaxLease{ 6000 };
-  /// Time a lasting task may suffer from its neighbours; the deployment's
-  /// bound.
+  /// Longest time for which interference may keep a long-running task over its
+  /// tail latency target. The deployment sets it.
   Millis mMaxTimeOverTarget{ 4000 };
-  /// Runner clocks may run 2% slow by contract; 1% more for rounding.
+  /// Assumed ratio of this process's clock to the slowest runner clock. A
+  /// runner's clock may run 2% slow; 1% is added for rounding.
   double mClockDriftFactor = 1.03;
-  /// Added to a silent runner's lease for scheduling delays of this process.
+  /// Added to the lease of a silent runner before its tasks are given up, to
+  /// allow for scheduling delays of this process.
   Millis mLeaseExpiryMargin{ 150 };
-  /// A stop without an effect is sent again after this. One regional round trip
-  /// is 24 ms, and a stop takes up to 200 to 900 ms by deployment.
+  /// A stop order whose run has not ended is sent again after this time. A
+  /// regional round trip takes 24 ms, and a stop takes up to 200 to 900 ms,
+  /// depending on the deployment.
   Millis mStopRetryInterval{ 700 };
-  /// Wait of a watched renewal. Beside lasting tasks it follows their
-  /// half-second tail figure; elsewhere ends wake it up.
+  /// Longest time for which a runner delays its answer to a renewal while it
+  /// has nothing new to report. Where best-effort tasks run beside long-running
+  /// ones, renewals are more frequent, because the runner updates the tail
+  /// latencies every half second.
   Millis mLongPollBesideServing{ 400 };
   Millis mLongPoll{ 900 };
-  /// Idle runners are looked at this often to keep their clock known.
+  /// Interval of requests to an idle runner, which keep its clock known.
   Millis mIdlePollInterval{ 3000 };
-  /// An idle runner is avoided when its clock reading is older than this.
+  /// No task is started on a runner whose latest clock reading is older.
   Millis mMaxClockReadingAge{ 8000 };
-  /// Failures of different jobs in a row after which a runner is set apart.
+  /// Consecutive failures, of at least two jobs, after which a runner is
+  /// quarantined.
   std::uint32_t mFailuresToQuarantine = 3;
-  Millis mFirstQuarantine{ 3000 }; ///< Doubles with each failed probation.
+  /// Duration of the first quarantine. It doubles with each failed probation.
+  Millis mFirstQuarantine{ 3000 };
   Millis mMaxQuarantine{ 24000 };
-  /// A lasting task that has been at work for this long shows that its runner
-  /// is sound; bad workers fail tasks within a second.
+  /// A long-running task that has worked for this time ends the probation of
+  /// its runner. Faulty runners fail tasks within a second.
   Millis mProbationTime{ 2000 };
-  /// A runner that refused a start for health is avoided this long.
+  /// Time without starts on a runner that refused one because it is unhealthy.
   Millis mUnhealthyBackOff{ 700 };
-  /// A start that was refused for room is not repeated there for this long.
+  /// Time without starts on a runner that refused one for another reason, such
+  /// as lack of capacity.
   Millis mRefusalBackOff{ 300 };
-  /// A runner that is silent for this long is recorded. A lost answer shows
-  /// itself by the next one within less.
+  /// After this time of silence, the runs of a runner are recorded in the
+  /// store. If only one answer was lost, the next arrives sooner.
   Millis mSilenceBeforeRecord{ 300 };
-  /// Starts that a runner has not answered yet. They share few connections, and
-  /// one that waits for them past its time counts as unanswered.
+  /// Limit of start orders to one runner that it has not answered yet. The
+  /// orders share a few connections, and one that queues for a connection until
+  /// its time-out counts as unanswered.
   std::uint32_t mMaxUnansweredStarts = 12;
-  /// Starts in one pass, so that one pass stays under a few milliseconds.
+  /// Limit of start orders in one placement pass, so that a pass takes no more
+  /// than a few milliseconds.
   std::uint32_t mMaxStartsPerPass = 64;
 };
 
--- a/Libraries/LibDispatch/Interference.cpp
+++ b/Libraries/LibDispatch/Interference.cpp
@@ -10,25 +10,26 @@
 namespace {
 
 /// A pair that nothing is known of is expected to disturb a little, with a wide
-/// spread: some half of the pairs disturb, by up to 3 of utilization for each
-/// share of the processors.
+/// innovationVariance: some half of the pairs disturb, by up to 3 of
+/// utilization for each share of the processors.
 constexpr double kPriorMean = 0.5;
 constexpr double kPriorVariance = 1.5 * 1.5;
 /// What an image does to another changes slowly compared with a day's seconds;
-/// knowledge fades to the prior's spread over about five minutes.
+/// knowledge fades to the prior's innovationVariance over about five minutes.
 constexpr double kVarianceGrowthPerSecond = kPriorVariance / 300;
-/// A pair is known from this spread on. Two known pairs of an image give a
-/// first idea of its others.
+/// A pair is known from this innovationVariance on. Two known pairs of an image
+/// give a first idea of its others.
 constexpr double kObservedVariance = 0.5 * 0.5;
 constexpr int kMinObservedPairs = 2;
 constexpr double kUnobservedVariance = 1.0 * 1.0;
 /// Spread of a utilization computed from a tail in whole milliseconds.
 constexpr double kMeasurementVariance = 0.025 * 0.025;
-/// Share by which the modelled disturbance is off, as a standard deviation.
+/// Share by which the modelled interferenceRise is off, as a standard
+/// deviation.
 constexpr double kModelErrorShare = 0.25;
 /// Squared surprises above this many spreads have causes outside of the model,
 /// such as a slow runner, and count less.
-constexpr double kMaxNormalizedInnovation = 9;
+constexpr double kMaxNormalizedInnovationSquared = 9;
 /// Tails are figures of the last half second; a runner is learned from at this
 /// interval at most, so that samples are nearly independent.
 constexpr Millis kLearnInterval{ 350 };
@@ -154,8 +155,8 @@
   }
   step.mUtilizationFilter = Predicted(step.mUtilizationFilter, aNow);
   double expected = step.mUtilizationFilter.mUtilization;
-  double disturbance = 0;
-  double spread =
+  double interferenceRise = 0;
+  double innovationVariance =
     kMeasurementVariance + step.mUtilizationFilter.mUtilizationVariance;
   for (const TaskRef& task : aInterfering) {
     PairEffect& pair =
@@ -164,25 +165,28 @@
       interference, StepOf(task).mImageIndex, step.mImageIndex, aNow);
     pair.mLearnedAt = aNow;
     const double pressure = PressureOf(aRunner, task);
-    disturbance += pair.mMean * pressure;
-    spread += pair.mVariance * pressure * pressure;
+    interferenceRise += pair.mMean * pressure;
+    innovationVariance += pair.mVariance * pressure * pressure;
   }
-  expected += disturbance;
-  spread += kModelErrorShare * kModelErrorShare * disturbance * disturbance;
-  const double surprise = UtilizationOf(serving, tail) - expected;
-  spread = std::max(spread, surprise * surprise / kMaxNormalizedInnovation);
+  expected += interferenceRise;
+  innovationVariance +=
+    kModelErrorShare * kModelErrorShare * interferenceRise * interferenceRise;
+  const double innovation = UtilizationOf(serving, tail) - expected;
+  innovationVariance =
+    std::max(innovationVariance,
+             innovation * innovation / kMaxNormalizedInnovationSquared);
   for (const TaskRef& task : aInterfering) {
     PairEffect& pair =
       StoredEffect(interference, StepOf(task).mImageIndex, step.mImageIndex);
     const double pressure = PressureOf(aRunner, task);
-    const double gain = pair.mVariance * pressure / spread;
-    pair.mMean = std::max(0.0, pair.mMean + gain * surprise);
+    const double gain = pair.mVariance * pressure / innovationVariance;
+    pair.mMean = std::max(0.0, pair.mMean + gain * innovation);
     pair.mVariance *= 1 - gain * pressure;
   }
   if (!aInterfering.empty()) {
     UpdateSensitivity(interference, step.mImageIndex);
   }
-  Update(step.mUtilizationFilter, surprise, spread, aNow);
+  Update(step.mUtilizationFilter, innovation, innovationVariance, aNow);
 }
 
 /// Rise of the serving image's utilization that tasks of an image are feared to
@@ -249,12 +253,12 @@
     aInterference.mServingImages[index].mMinTailMs = image.mMinTailMs;
   }
   for (const InterferenceRecord::Effect& effect : aRecord.mEffects) {
-    const std::uint32_t disturbing =
+    const std::uint32_t interfering =
       ImageIndex(aInterference, effect.mInterfering);
     const std::uint32_t serving = ImageIndex(aInterference, effect.mServing);
-    StoredEffect(aInterference, disturbing, serving) = { effect.mMean,
-                                                         effect.mVariance,
-                                                         aNow };
+    StoredEffect(aInterference, interfering, serving) = { effect.mMean,
+                                                          effect.mVariance,
+                                                          aNow };
     UpdateSensitivity(aInterference, serving);
   }
 }
@@ -324,7 +328,7 @@
     return;
   }
   aRunner.mTailsLearnedAt = aNow;
-  std::vector<TaskRef> disturbing;
+  std::vector<TaskRef> interfering;
   for (const TaskRef& ref : aRunner.mTasks) {
     if (!IsBestEffort(ref)) {
       continue;
@@ -333,14 +337,14 @@
         !ReflectsCurrentPace(TaskOf(ref), aNow)) {
       return; // The tails are of a time before it, or it is about to leave.
     }
-    disturbing.push_back(ref);
+    interfering.push_back(ref);
   }
   if (aNow - aRunner.mBestEffortEndedAt < kReportLag) {
     return; // The tails are partly of a time with another neighbour.
   }
   for (const TaskRef& ref : aRunner.mTasks) {
     if (IsServing(ref) && aNow - TaskOf(ref).mStartAnsweredAt >= kReportLag) {
-      LearnFromTail(aDispatcher, aRunner, ref, disturbing, aNow);
+      LearnFromTail(aDispatcher, aRunner, ref, interfering, aNow);
     }
   }
 }
@@ -406,10 +410,10 @@
     if (serving == aRunner.mServingSteps.end()) {
       serving = aRunner.mServingSteps.insert(serving, ServingStepLoad{});
       serving->mStep = &step;
-      const UtilizationFilter track = Predicted(step.mUtilizationFilter, aNow);
-      serving->mForecastForPace = MaxUtilizationWithin(track, kPaceHorizon);
+      const UtilizationFilter filter = Predicted(step.mUtilizationFilter, aNow);
+      serving->mForecastForPace = MaxUtilizationWithin(filter, kPaceHorizon);
       serving->mForecastForPlacement =
-        MaxUtilizationWithin(track, kPlacementHorizon);
+        MaxUtilizationWithin(filter, kPlacementHorizon);
       serving->mUtilizationLimit =
         kUtilizationLimitShare *
         UtilizationOf(image,
--- a/Libraries/LibDispatch/Internal.h
+++ b/Libraries/LibDispatch/Internal.h
@@ -23,7 +23,7 @@
        const TaskRef& aTask,
        RunOutcome aOutcome,
        std::int64_t aRun,
-       std::string_view aSaved,
+       std::string_view aCheckpoint,
        MonotonicTime aNow,
        Actions& aActions);
 
--- a/Libraries/LibDispatch/Job.h
+++ b/Libraries/LibDispatch/Job.h
@@ -64,7 +64,7 @@
   std::optional<MonotonicTime> mStopAnsweredAt;
   std::optional<MonotonicTime> mOverTargetSince;
   /// Since when its pace has been low.
-  std::optional<MonotonicTime> mSlowSince;
+  std::optional<MonotonicTime> mLowPaceSince;
   RunnerIndex mFailedOn = kNoRunner;
   std::string mCheckpoint; ///< Latest checkpoint, empty if none.
 };
--- a/Libraries/LibDispatch/JobSpec.h
+++ b/Libraries/LibDispatch/JobSpec.h
@@ -8,7 +8,7 @@
 
 namespace paddle::dispatch {
 
-/// Processors in thousandths of a core, memory in megabytes, accelerators.
+/// Resources that a task needs or a runner has.
 struct Resources
 {
   std::int64_t mMilliCores = 0;
@@ -16,66 +16,75 @@
   std::int64_t mAccelerators = 0;
 };
 
-/// What the tasks of a step are for.
+/// Whether the tasks of a step run to completion.
 enum class StepKind
 {
-  Finite,     ///< Runs to an end on reserved processors.
-  LongRunning ///< Serves until the job is cancelled and is restarted when it
-              ///< ends.
+  Finite,     ///< The task runs to completion.
+  LongRunning ///< The task runs until its job is cancelled. It is restarted
+              ///< whenever it ends.
 };
 
-/// Whether a step's tasks reserve processors.
+/// Whether the tasks of a step reserve processors.
 enum class Reservation
 {
   Reserved,
-  BestEffort ///< Runs on what reserved tasks leave unused; memory is reserved.
+  BestEffort ///< The task uses processors that reserved tasks leave idle. Its
+             ///< memory and accelerators are reserved nevertheless.
 };
 
-/// One step of a job: tasks that are alike.
+/// One step of a job. All tasks of a step are alike.
 struct StepSpec
 {
   std::uint32_t mTaskCount = 0;
-  Resources mDemand;
-  Millis mEstimatedDuration{
-    0
-  }; ///< Rough; off by a half and more in practice.
+  Resources mDemand; ///< What each task needs.
+  /// Expected duration of a task. In practice it is off by half and more.
+  Millis mEstimatedDuration{ 0 };
+  /// Indexes of the steps that must have ended before this one starts.
   std::vector<std::uint32_t> mPredecessors;
   StepKind mKind = StepKind::Finite;
   Reservation mReservation = Reservation::Reserved;
-  bool mWritesCheckpoints = false;
-  bool mGang = false; ///< Tasks start together and end together.
-  // FIXME: Placement does not use the next two, nor mMaxInterruptedTasks, yet.
-  bool mSameRack = false;           ///< Slower when spread over racks.
-  bool mSpeculationAllowed = false; ///< Copies of a task may run in parallel.
-  std::string mRequiredLabel;       ///< Empty: none.
-  std::string mDataRack;            ///< Slower elsewhere; empty: anywhere.
+  bool mWritesCheckpoints = false; ///< A task can resume from a checkpoint.
+  bool mGang = false; ///< All tasks start together and end together.
+  // FIXME: Placement ignores mSameRack, mSpeculationAllowed and
+  // mMaxInterruptedTasks.
+  bool mSameRack = false; ///< The tasks run slower when spread over racks.
+  /// A second copy of a slow task may run in parallel.
+  bool mSpeculationAllowed = false;
+  std::string mRequiredLabel; ///< Label that the runner must have, or empty.
+  /// Rack that holds the input data, or empty. Tasks run slower elsewhere.
+  std::string mDataRack;
   std::uint32_t mMaxTasksPerRunner = 0; ///< 0: no limit.
-  std::uint32_t mMaxInterruptedTasks =
-    0; ///< Tasks that may be interrupted at a time.
-  bool mLimitsInterruptions = false;
+  /// Number of tasks that may be interrupted at the same time.
+  std::uint32_t mMaxInterruptedTasks = 0;
+  bool mLimitsInterruptions = false; ///< Whether mMaxInterruptedTasks applies.
   std::string mImage;
-  Millis mTailLatencyTarget{ 0 }; ///< Of a lasting task; 0: none.
+  /// Tail latency that a long-running task should keep; 0: none.
+  Millis mTailLatencyTarget{ 0 };
 };
 
-/// A job as its client handed it in.
+/// A job as its client submitted it.
 struct JobSpec
 {
   std::string mId;
   std::string mQueue;
-  std::string mPayload; ///< Opaque text that every start carries.
+  std::string mPayload; ///< Opaque text that is passed to each task.
   std::vector<StepSpec> mSteps;
-  std::uint32_t mOccurrences = 0; ///< 0: one, due at once.
-  std::int64_t mFirstDueMs = 0;   ///< Unix time in milliseconds.
-  std::int64_t mIntervalMs = 0;
+  /// Number of times that the steps run; 0: once, immediately.
+  std::uint32_t mOccurrences = 0;
+  std::int64_t mFirstDueMs = 0; ///< Unix time of the first occurrence.
+  std::int64_t mIntervalMs = 0; ///< Time between two occurrences.
 };
 
-/// What the configuration grants a queue.
+/// What the configuration says about a queue.
 struct QueueSpec
 {
   std::string mName;
-  std::string mService;
-  std::int32_t mPriority = 0; ///< 0 comes first.
+  std::string mService; ///< Service whose runners execute the queue's jobs.
+  std::int32_t mPriority = 0; ///< 0 is the highest priority.
+  /// A job fails when one of its tasks has failed this many times.
   std::uint32_t mMaxAttempts = 1;
+  /// A job should end within this multiple of its critical path, plus
+  /// mTargetDuration.
   double mStretch = 1;
   Millis mTargetDuration{ 0 };
 };
--- a/Libraries/LibDispatch/Jobs.cpp
+++ b/Libraries/LibDispatch/Jobs.cpp
@@ -73,9 +73,9 @@
         step.mTasks[index].mFailedRuns = runs;
       }
     }
-    for (const auto& [index, saved] : stored.mCheckpoints) {
+    for (const auto& [index, checkpoint] : stored.mCheckpoints) {
       if (index < step.mTasks.size()) {
-        step.mTasks[index].mCheckpoint = saved;
+        step.mTasks[index].mCheckpoint = checkpoint;
       }
     }
     if (step.mDoneTasks == step.mTasks.size()) {
--- a/Libraries/LibDispatch/Pacing.cpp
+++ b/Libraries/LibDispatch/Pacing.cpp
@@ -162,15 +162,15 @@
 {
   Task& task = TaskOf(aTask);
   if (aPace >= kLowPacePercent) {
-    task.mSlowSince.reset();
+    task.mLowPaceSince.reset();
     return false;
   }
-  if (!task.mSlowSince) {
-    task.mSlowSince = aNow;
+  if (!task.mLowPaceSince) {
+    task.mLowPaceSince = aNow;
   }
-  return aNow - *task.mSlowSince >= (SpecOf(aTask).mWritesCheckpoints
-                                       ? kMoveAfter
-                                       : kMoveWithoutCheckpointAfter);
+  return aNow - *task.mLowPaceSince >= (SpecOf(aTask).mWritesCheckpoints
+                                          ? kMoveAfter
+                                          : kMoveWithoutCheckpointAfter);
 }
 
 } // namespace
--- a/Libraries/LibDispatch/Placing.cpp
+++ b/Libraries/LibDispatch/Placing.cpp
@@ -206,12 +206,12 @@
   if (aRunner.mLongRunningTasks == 0) {
     return cost;
   }
-  const std::optional<double> disturbance =
+  const std::optional<double> interferenceCost =
     InterferenceCost(aDispatcher, aRunner, aTask, aNow);
-  if (!disturbance) {
+  if (!interferenceCost) {
     return Obstacle::WouldInterfere;
   }
-  return cost + kInterferenceCost * *disturbance;
+  return cost + kInterferenceCost * *interferenceCost;
 }
 
 PlacementRating
@@ -304,7 +304,7 @@
   task.mPacePercent = 100;
   task.mPaceConfirmed = true;
   task.mPaceSentAt = aNow;
-  task.mSlowSince.reset();
+  task.mLowPaceSince.reset();
   task.mReportedLoad = 0;
   task.mCpuUseRatio = kDefaultCpuUseRatio;
   --step.mWaitingTasks;
@@ -385,10 +385,10 @@
     // Members of the former run have not all ended yet.
     return false;
   }
-  std::string saved;
+  std::string checkpoint;
   for (const Task& task : step.mTasks) {
     if (!task.mCheckpoint.empty()) {
-      saved = task.mCheckpoint;
+      checkpoint = task.mCheckpoint;
     }
   }
   Actions starts;
@@ -409,7 +409,7 @@
       }
       return false;
     }
-    step.mTasks[i].mCheckpoint = saved;
+    step.mTasks[i].mCheckpoint = checkpoint;
     Start(aDispatcher, ref, runner, run, aNow, starts);
   }
   aActions.insert(aActions.end(), starts.begin(), starts.end());
--- a/Libraries/LibDispatch/Reports.cpp
+++ b/Libraries/LibDispatch/Reports.cpp
@@ -396,7 +396,7 @@
        const TaskRef& aTask,
        RunOutcome aOutcome,
        std::int64_t aRun,
-       std::string_view aSaved,
+       std::string_view aCheckpoint,
        MonotonicTime aNow,
        Actions& aActions)
 {
@@ -417,8 +417,8 @@
   task.mOverTargetSince.reset();
   task.mProgressPercent = -1;
   bool durable = false;
-  if (!aSaved.empty() && task.mCheckpoint != aSaved) {
-    task.mCheckpoint = aSaved;
+  if (!aCheckpoint.empty() && task.mCheckpoint != aCheckpoint) {
+    task.mCheckpoint = aCheckpoint;
     durable = true;
   }
   if (job.mPhase != JobPhase::Active) {
--- a/Libraries/LibDispatch/UtilizationFilter.cpp
+++ b/Libraries/LibDispatch/UtilizationFilter.cpp
@@ -10,7 +10,7 @@
 /// Spectral density of the load's acceleration: load that swings by half around
 /// 0.42 within ten seconds changes its rate by up to 0.08 a second.
 constexpr double kProcessNoiseDensity = 0.07 * 0.07;
-/// The spread of a track that is not observed grows no further than this.
+/// The spread of a filter that is not observed grows no further than this.
 constexpr double kMaxUtilizationVariance = 0.2 * 0.2;
 constexpr double kMaxRateVariance = 0.12 * 0.12;
 /// Rates are trusted for this long without an observation.
@@ -20,62 +20,65 @@
 } // namespace
 
 UtilizationFilter
-Predicted(const UtilizationFilter& aTrack, MonotonicTime aNow)
+Predicted(const UtilizationFilter& aFilter, MonotonicTime aNow)
 {
-  UtilizationFilter track = aTrack;
-  if (!aTrack.mObserved || aNow <= aTrack.mAt) {
-    return track;
+  UtilizationFilter filter = aFilter;
+  if (!aFilter.mObserved || aNow <= aFilter.mAt) {
+    return filter;
   }
   const double elapsed =
-    std::chrono::duration<double>(aNow - aTrack.mAt).count();
+    std::chrono::duration<double>(aNow - aFilter.mAt).count();
   const double trend = std::min(elapsed, kMaxTrendSeconds);
-  track.mUtilization = std::clamp(
-    aTrack.mUtilization + aTrack.mRatePerSecond * trend, 0.0, kMaxUtilization);
+  filter.mUtilization =
+    std::clamp(aFilter.mUtilization + aFilter.mRatePerSecond * trend,
+               0.0,
+               kMaxUtilization);
   if (elapsed > kMaxTrendSeconds) {
-    track.mRatePerSecond = 0;
+    filter.mRatePerSecond = 0;
   }
-  track.mUtilizationVariance =
+  filter.mUtilizationVariance =
     std::min(kMaxUtilizationVariance,
-             aTrack.mUtilizationVariance + 2 * elapsed * aTrack.mCovariance +
-               elapsed * elapsed * aTrack.mRateVariance +
+             aFilter.mUtilizationVariance + 2 * elapsed * aFilter.mCovariance +
+               elapsed * elapsed * aFilter.mRateVariance +
                kProcessNoiseDensity * elapsed * elapsed * elapsed / 3);
-  track.mCovariance = aTrack.mCovariance + elapsed * aTrack.mRateVariance +
-                      kProcessNoiseDensity * elapsed * elapsed / 2;
-  track.mRateVariance = std::min(
-    kMaxRateVariance, aTrack.mRateVariance + kProcessNoiseDensity * elapsed);
+  filter.mCovariance = aFilter.mCovariance + elapsed * aFilter.mRateVariance +
+                       kProcessNoiseDensity * elapsed * elapsed / 2;
+  filter.mRateVariance = std::min(
+    kMaxRateVariance, aFilter.mRateVariance + kProcessNoiseDensity * elapsed);
   // The caps must leave a valid covariance.
   const double most =
-    0.95 * std::sqrt(track.mUtilizationVariance * track.mRateVariance);
-  track.mCovariance = std::clamp(track.mCovariance, -most, most);
-  track.mAt = aNow;
-  return track;
+    0.95 * std::sqrt(filter.mUtilizationVariance * filter.mRateVariance);
+  filter.mCovariance = std::clamp(filter.mCovariance, -most, most);
+  filter.mAt = aNow;
+  return filter;
 }
 
 void
-Update(UtilizationFilter& aTrack,
+Update(UtilizationFilter& aFilter,
        double aInnovation,
        double aInnovationVariance,
        MonotonicTime aNow)
 {
-  aTrack.mAt = aNow;
-  aTrack.mObserved = true;
-  const double levelGain = aTrack.mUtilizationVariance / aInnovationVariance;
-  const double rateGain = aTrack.mCovariance / aInnovationVariance;
-  aTrack.mUtilization = std::clamp(
-    aTrack.mUtilization + levelGain * aInnovation, 0.0, kMaxUtilization);
-  aTrack.mRatePerSecond += rateGain * aInnovation;
-  aTrack.mRateVariance -= rateGain * aTrack.mCovariance;
-  aTrack.mCovariance *= 1 - levelGain;
-  aTrack.mUtilizationVariance *= 1 - levelGain;
+  aFilter.mAt = aNow;
+  aFilter.mObserved = true;
+  const double utilizationGain =
+    aFilter.mUtilizationVariance / aInnovationVariance;
+  const double rateGain = aFilter.mCovariance / aInnovationVariance;
+  aFilter.mUtilization = std::clamp(
+    aFilter.mUtilization + utilizationGain * aInnovation, 0.0, kMaxUtilization);
+  aFilter.mRatePerSecond += rateGain * aInnovation;
+  aFilter.mRateVariance -= rateGain * aFilter.mCovariance;
+  aFilter.mCovariance *= 1 - utilizationGain;
+  aFilter.mUtilizationVariance *= 1 - utilizationGain;
 }
 
 double
-MaxUtilizationWithin(const UtilizationFilter& aTrack, Millis aHorizon)
+MaxUtilizationWithin(const UtilizationFilter& aFilter, Millis aHorizon)
 {
   const double seconds = std::chrono::duration<double>(aHorizon).count();
   return std::min(kMaxUtilization,
-                  aTrack.mUtilization +
-                    std::max(0.0, aTrack.mRatePerSecond) * seconds);
+                  aFilter.mUtilization +
+                    std::max(0.0, aFilter.mRatePerSecond) * seconds);
 }
 
 } // namespace paddle::dispatch
