--- a/Libraries/LibDispatch/Dispatcher.h
+++ b/Libraries/LibDispatch/Dispatcher.h
@@ -20,6 +20,7 @@
 
 namespace paddle::dispatch {
 
+/// Hash that lets maps with text keys be searched without copying the key.
 struct TextHash
 {
   using is_transparent = void;
@@ -32,12 +33,13 @@
 template<typename T>
 using TextMap = std::unordered_map<std::string, T, TextHash, std::equal_to<>>;
 
-/// A step of which tasks wait, in the order in which steps are served.
+/// Entry of a step with waiting tasks. Entries are ordered by queue priority,
+/// then long-running before finite steps, then by deadline and arrival.
 struct WaitingStep
 {
   std::int32_t mPriority = 0;
   StepKind mKind = StepKind::LongRunning;
-  MonotonicTime mSoftDeadline; ///< When the job's objective ends.
+  MonotonicTime mSoftDeadline; ///< Of the occurrence.
   std::uint64_t mArrivalNumber = 0;
   Job* mJob = nullptr;
   std::uint32_t mOccurrence = 0;
@@ -46,15 +48,16 @@
   bool operator<(const WaitingStep& aOther) const;
 };
 
+/// Numbers of events since this process took the shard.
 struct DispatchCounters
 {
-  std::uint64_t mStarts = 0;
-  std::uint64_t mDone = 0;
-  std::uint64_t mFailed = 0;
-  std::uint64_t mLost = 0;
-  std::uint64_t mStopped = 0;
-  std::uint64_t mRejected = 0;   ///< Starts that a runner refused.
-  std::uint64_t mUnanswered = 0; ///< Starts without an answer.
+  std::uint64_t mStarts = 0;     ///< Start orders.
+  std::uint64_t mDone = 0;       ///< Tasks of finite steps that completed.
+  std::uint64_t mFailed = 0;     ///< Failed runs of finite steps.
+  std::uint64_t mLost = 0;       ///< Runs whose lease or runner process ended.
+  std::uint64_t mStopped = 0;    ///< Runs that ended otherwise, or were lost.
+  std::uint64_t mRejected = 0;   ///< Start orders that a runner refused.
+  std::uint64_t mUnanswered = 0; ///< Start orders without an answer.
   std::uint64_t mJobsCompleted = 0;
   std::uint64_t mJobsFailed = 0;
   std::uint64_t mJobsCancelled = 0;
@@ -62,43 +65,56 @@
   std::uint64_t mQuarantines = 0;
 };
 
-/// Reports an event worth a log line: a name and key=value fields.
+/// Receives the events to log: the name, the job concerned or null, and fields
+/// of the form key=value.
 using EventSink = std::function<
   void(std::string_view aEvent, const Job* aJob, std::string aDetails)>;
 
-/// State of one shard of runners and the jobs that run on them. One thread owns
-/// it; every function takes the present time and appends its orders to actions.
+/// State of one shard: its runners and the jobs that run on them. It decides,
+/// but performs no input or output and reads no clock: the functions below take
+/// the present time and append the orders to send to a list of actions. Only
+/// one thread may use it.
 struct Dispatcher
 {
   DispatchSettings mSettings;
-  std::int64_t mEpoch = 0; ///< Fencing token of every order.
-  std::int64_t mNextRun = 1;
-  /// Until then an earlier owner may have left tasks on runners that have not
-  /// been heard from.
+  std::int64_t mEpoch = 0;   ///< Fencing token of every order.
+  std::int64_t mNextRun = 1; ///< Number of the next run.
+  /// Time until which runners that have not answered this owner may still run
+  /// tasks of an earlier owner.
   MonotonicTime mEarlierLeasesUntil;
+  /// Whether all runs of earlier owners are known or have ended. Jobs that an
+  /// earlier owner may have begun are placed only from then on.
   bool mRecovered = false;
 
   std::vector<Runner> mRunners;
   TextMap<RunnerIndex> mRunnerById;
-  std::uint32_t mListedRunnerCount = 0; ///< In the latest reading.
-  std::uint32_t mLongRunningRunnerCount =
-    0; ///< Of all, those with lasting tasks.
+  /// Number of runners that service discovery listed last.
+  std::uint32_t mListedRunnerCount = 0;
+  /// Number of runners that have long-running tasks.
+  std::uint32_t mLongRunningRunnerCount = 0;
   TextMap<std::unique_ptr<Job>> mJobs;
   TextMap<QueueSpec> mQueues;
   std::set<std::string, std::less<>> mEvacuatedDataCentres;
-  std::set<WaitingStep> mWaitingSteps;
-  std::vector<WaitingStep>
-    mPlacementOrder; ///< Order of service, as of mPlacementOrderAt.
+  std::set<WaitingStep> mWaitingSteps; ///< Ready steps with waiting tasks.
+  /// Waiting steps in the order in which they are placed, as of
+  /// mPlacementOrderAt.
+  std::vector<WaitingStep> mPlacementOrder;
   MonotonicTime mPlacementOrderAt;
   std::uint64_t mNextArrivalNumber = 1;
-  MonotonicTime mExplainedAt;
-  MonotonicTime mPlacedAt;
-  bool mPlacementDue = false; ///< Waiting tasks or runners have changed.
-  std::vector<RunnerIndex> mFreedRunners; ///< ShardCapacity was freed there.
-
-  std::vector<Job*> mDirtyJobs;      ///< Jobs whose progress is to be stored.
-  std::uint64_t mCommitSequence = 1; ///< Of the commit being collected.
-  std::uint64_t mStoredThrough = 0;  ///< Latest commit that is stored.
+  MonotonicTime mExplainedAt; ///< When waiting steps were last logged.
+  MonotonicTime mPlacedAt;    ///< When a full placement pass was last ordered.
+  /// Whether the next placement pass must consider all runners.
+  bool mPlacementDue = false;
+  /// Runners on which runs have ended since the latest placement pass.
+  std::vector<RunnerIndex> mFreedRunners;
+
+  std::vector<Job*> mDirtyJobs; ///< Jobs with progress that is not stored.
+  /// Sequence number of the commit that takes up the next changes.
+  std::uint64_t mCommitSequence = 1;
+  /// Sequence number of the latest commit that is stored.
+  std::uint64_t mStoredThrough = 0;
+  /// Whether a job or occurrence has ended, so that the commit should not wait
+  /// for further changes.
   bool mCommitUrgent = false;
 
   Interference mInterference;
@@ -108,53 +124,56 @@
 
 // Configuration and service discovery.
 
+/// Replaces the configuration of all queues.
 void
 SetQueues(Dispatcher& aDispatcher, std::span<const QueueSpec> aQueues);
 
+/// Sets the data centres that are out of service, in which no task is started.
 void
 SetEvacuatedDataCentres(Dispatcher& aDispatcher,
                         std::span<const std::string> aDataCentres);
 
-/// Takes a complete reading of service discovery.
+/// Takes over the list of runners of service discovery, which must be complete.
 void
 SetRunners(Dispatcher& aDispatcher,
            std::span<const RunnerSpec> aRunners,
            MonotonicTime aNow,
            Actions& aActions);
 
-/// Adds a runner that an earlier owner used and that may still run tasks.
+/// Adds a runner on which an earlier owner may have started tasks.
 void
 AddInheritedRunner(Dispatcher& aDispatcher,
                    const InheritedRunner& aRunner,
                    MonotonicTime aNow);
 
-/// Takes up what the records of silent runners say, once all jobs are added.
+/// Adopts the runs that an earlier owner recorded of silent runners. All jobs
+/// must have been added before.
 void
 AdoptRecordedRuns(Dispatcher& aDispatcher, MonotonicTime aNow);
 
-/// @return whether a record of what the runner may run should be stored, so
-/// that
-///         a later owner need not wait for it before it starts other tasks
+/// @return whether the runs that the runner may have should be recorded in the
+///         store, so that a later owner can start other tasks without waiting
+///         for the runner
 bool
 ShouldStoreRecord(const Dispatcher& aDispatcher,
                   RunnerIndex aRunner,
                   MonotonicTime aNow);
 
-/// @return what the runner may run
+/// @return all runs that the runner may have
 std::vector<PossibleRun>
 PossibleRuns(const Dispatcher& aDispatcher, RunnerIndex aRunner);
 
 // Jobs.
 
-/// Whether an earlier owner may have started tasks of a job.
+/// Whether an earlier owner may have started runs of a job.
 enum class PriorRuns
 {
   None,
   Possible
 };
 
-/// Adds a stored job.
-/// @param aProgress what an earlier owner stored, or null for a new job
+/// Adds an accepted job, which must have been stored.
+/// @param aProgress progress that an earlier owner stored, or null
 void
 AddJob(Dispatcher& aDispatcher,
        JobSpec aSpec,
@@ -163,7 +182,7 @@
        MonotonicTime aAcceptedAt,
        MonotonicTime aNow);
 
-/// Cancels a job whose cancellation is stored.
+/// Cancels a job. Its cancellation must have been stored.
 void
 CancelJob(Dispatcher& aDispatcher,
           std::string_view aJob,
@@ -172,7 +191,8 @@
 
 // Answers of runners.
 
-/// @param aSentAt when the request of this answer was sent
+/// Handles the answer to a lease renewal.
+/// @param aSentAt when the renewal was sent
 void
 HandleReport(Dispatcher& aDispatcher,
              RunnerIndex aRunner,
@@ -181,18 +201,20 @@
              MonotonicTime aNow,
              Actions& aActions);
 
-/// A renewal got no answer.
+/// Handles a renewal that got no answer.
 void
 HandleNoReport(Dispatcher& aDispatcher,
                RunnerIndex aRunner,
                MonotonicTime aNow);
 
+/// Result of a start order.
 enum class StartResult
 {
   Started,
-  Refused,   ///< No room, too late, or an outdated run number.
-  Unhealthy, ///< The runner refuses work for now and has done nothing.
-  Unknown    ///< No answer; it may run.
+  Refused,   ///< The runner lacks capacity, the order was late, or its run
+             ///< number was outdated. The task does not run.
+  Unhealthy, ///< The runner refuses all tasks for now. The task does not run.
+  Unknown    ///< There was no answer, so the task may run.
 };
 
 void
@@ -204,7 +226,8 @@
                   MonotonicTime aNow,
                   Actions& aActions);
 
-/// A runner answered a stop: a run that it does not list now never starts.
+/// Handles the answer to a stop order. A run that the runner does not report
+/// from now on will never start.
 void
 HandleStopAnswered(Dispatcher& aDispatcher,
                    RunnerIndex aRunner,
@@ -212,71 +235,83 @@
                    std::int64_t aRun,
                    MonotonicTime aNow);
 
-/// An order of pace was not carried out, or may be carried out late.
+/// Handles an order of pace that failed, or that may be applied late.
 void
 HandlePaceUnconfirmed(Dispatcher& aDispatcher,
                       const TaskName& aTask,
                       std::int64_t aRun);
 
-/// Does what is due by time and starts waiting tasks.
+/// Performs everything that depends on the time: ends expired leases, repeats
+/// stop orders, begins occurrences and starts waiting tasks.
+/// @param aUnixMs the present Unix time in milliseconds
 void
 HandleTick(Dispatcher& aDispatcher,
            MonotonicTime aNow,
            std::int64_t aUnixMs,
            Actions& aActions);
 
-/// Starts waiting tasks where room or demand have changed.
+/// Runs a placement pass, which starts waiting tasks, if capacity or demand has
+/// changed.
 void
 PlaceWaiting(Dispatcher& aDispatcher, MonotonicTime aNow, Actions& aActions);
 
 // Commits.
 
-/// Progress to store, with the sequence to report to HandleCommitted().
+/// Jobs whose progress is stored in one transaction.
 struct Commit
 {
   std::uint64_t mSequence = 0;
   std::vector<Job*> mJobs;
 };
 
-/// Takes the changed jobs.
+/// @return the jobs that have changed since the last call, if any. The caller
+///         must store them and then call HandleCommitted().
 std::optional<Commit>
 TakeCommit(Dispatcher& aDispatcher);
 
-/// The commit is stored: the ends that it carries may be acknowledged.
+/// Handles a commit that has been stored. The runners' ends that it contains
+/// may now be acknowledged.
 /// @param aPhases the stored phase of each of the commit's jobs
 void
 HandleCommitted(Dispatcher& aDispatcher,
                 const Commit& aCommit,
                 std::span<const JobPhase> aPhases);
 
+/// @return the progress of a job to store
 JobProgress
 ProgressOf(const Job& aJob);
 
 // Queries.
 
-/// What the next lease renewal of a runner carries.
+/// Content of the next lease renewal of a runner.
 struct RenewalPlan
 {
+  /// The runner's ends up to this number are stored, and it may forget them.
   std::int64_t mAcknowledgedEnd = 0;
-  std::int64_t mLeaseEndMs = 0; ///< 0: the runner's clock is not known yet.
+  /// End of the leases of its runs, on the runner's clock. 0: no lease is
+  /// granted.
+  std::int64_t mLeaseEndMs = 0;
+  /// Time for which the runner may delay its answer until it has news.
   Millis mLongPollTimeout{ 0 };
 };
 
-/// Plans a renewal and notes the lease end that it grants.
+/// Plans a renewal. The lease end that it grants is counted as sent.
 RenewalPlan
 PlanRenewal(Dispatcher& aDispatcher, RunnerIndex aRunner, MonotonicTime aNow);
 
+/// Processors of a shard, summed up over its runners.
 struct ShardCapacity
 {
   std::int64_t mFreeMilliCores = 0;       ///< For reserved tasks.
-  std::int64_t mBestEffortMilliCores = 0; ///< For tasks without reservation.
+  std::int64_t mBestEffortMilliCores = 0; ///< For best-effort tasks.
   std::int64_t mTotalMilliCores = 0;
 };
 
+/// @return the capacity of the runners that may be used now
 ShardCapacity
 AvailableCapacity(const Dispatcher& aDispatcher, MonotonicTime aNow);
 
-/// @return accepted jobs of the queue of which no task has started
+/// @return the number of active jobs of the queue of which no task has started
 std::uint64_t
 PendingJobs(const Dispatcher& aDispatcher, std::string_view aQueue);
 
@@ -295,7 +330,7 @@
   return occurrence->second.mSteps[aTask.mStep];
 }
 
-/// @return the step that waits
+/// @return the step of an entry; its occurrence must exist
 inline Step&
 StepOf(const WaitingStep& aEntry)
 {
@@ -314,8 +349,10 @@
   return aTask.mJob->mSpec.mSteps[aTask.mStep];
 }
 
+/// @return the name in the form JOB.OCCURRENCE.STEP.INDEX
 std::string
 FormatTaskName(const TaskName& aTask);
+/// Parses a name of the form JOB.OCCURRENCE.STEP.INDEX.
 std::optional<TaskName>
 ParseTaskName(std::string_view aText);
 
--- a/Libraries/LibDispatch/Interference.h
+++ b/Libraries/LibDispatch/Interference.h
@@ -10,43 +10,45 @@
 
 namespace paddle::dispatch {
 
-/// How strongly tasks of one image without reservation load the lasting tasks
-/// of another: the rise of their utilization for each share of the runner's
-/// processors that the former ask for and use to the full. An image disturbs
-/// only some others, so the figure belongs to the pair.
+/// Estimate of how strongly best-effort tasks of one image raise the
+/// utilization of serving tasks of another image on the same runner. The value
+/// is the rise of utilization if the best-effort tasks keep all processors of
+/// the runner busy; smaller shares cause a proportional rise. Each image
+/// interferes only with some others, so there is one estimate for each pair.
 struct PairEffect
 {
   double mMean = 0;
   double mVariance = 0;
-  MonotonicTime mLearnedAt;
+  MonotonicTime mLearnedAt; ///< Time of the latest observation; 0: none.
 };
 
-/// What is known of a serving image.
+/// What has been learned about an image as a serving image.
 struct ServingImage
 {
-  /// Shortest tail seen, taken as the time without queueing.
+  /// Shortest tail latency observed; 0: none. It stands for the latency without
+  /// queueing.
   double mMinTailMs = 0;
-  /// Mean effect of all images without reservation on this one: runners that
-  /// serve only images of little sensitivity are where disturbing tasks go.
+  /// Mean effect of all best-effort images on this image. Runners that serve
+  /// only images with a low value are kept for interfering tasks.
   double mSensitivity = 1;
 };
 
-/// What is learned from the tails that runners report.
+/// What the tail latencies that runners report have shown about interference.
 struct Interference
 {
   std::unordered_map<std::string, std::uint32_t> mImageIndexes;
-  std::vector<ServingImage> mServingImages;
-  /// By disturbing image, then by serving image.
+  std::vector<ServingImage> mServingImages; ///< By image index.
+  /// By the index of the interfering image, then of the serving image.
   std::vector<std::vector<PairEffect>> mPairs;
 };
 
-/// What has been learned, for a later owner.
+/// The stored form of Interference, from which a later owner starts.
 struct InterferenceRecord
 {
   struct Image
   {
     std::string mName;
-    double mMinTailMs = 0; ///< Milliseconds; 0: it serves nobody.
+    double mMinTailMs = 0;
   };
   struct Effect
   {
@@ -55,14 +57,15 @@
     double mMean = 0;
     double mVariance = 0;
   };
-  std::vector<Image> mImages;
+  std::vector<Image> mImages; ///< Images with a known shortest tail latency.
   std::vector<Effect> mEffects;
 };
 
+/// @return the record to store for a later owner
 InterferenceRecord
 RecordOf(const Interference& aInterference, MonotonicTime aNow);
 
-/// Takes up what an earlier owner learned.
+/// Restores what an earlier owner has learned from its record.
 void
 Adopt(Interference& aInterference,
       const InterferenceRecord& aRecord,
@@ -72,7 +75,8 @@
 std::uint32_t
 ImageIndex(Interference& aInterference, std::string_view aImage);
 
-/// @return the expected utilization of a queue with this tail
+/// @return the utilization at which a task of the image is expected to have the
+///         tail latency @p aTail, in milliseconds
 double
 UtilizationOf(const ServingImage& aImage, double aTail);
 
--- a/Libraries/LibDispatch/Internal.h
+++ b/Libraries/LibDispatch/Internal.h
@@ -7,17 +7,19 @@
 
 namespace paddle::dispatch {
 
-/// How a run ended as far as its task is concerned.
+/// What the end of a run means for its task.
 enum class RunOutcome
 {
   Done,
   Failed,
-  Interrupted ///< It runs again, from its checkpoint if there is one.
+  Interrupted ///< The task runs again, from its checkpoint if there is one.
 };
 
-/// Takes a task's run off its runner and decides what becomes of the task.
-/// @param aRun the run that failed, where it did
-/// @return whether the end changed what must be stored
+/// Removes a run that has ended from its runner, and moves its task on to the
+/// next phase.
+/// @param aRun        number of the run; only used for failed runs
+/// @param aCheckpoint latest checkpoint of the run, or empty
+/// @return whether the progress to store has changed
 bool
 EndRun(Dispatcher& aDispatcher,
        const TaskRef& aTask,
@@ -27,8 +29,9 @@
        MonotonicTime aNow,
        Actions& aActions);
 
-/// Takes up a run of a task that this owner believes to run nowhere.
-/// @return whether it was taken up
+/// Adopts a run that an earlier owner started, of a task that waits here.
+/// @return whether it was adopted; it is not if the job has ended, or if the
+///         task runs or has run later
 bool
 AdoptRun(Dispatcher& aDispatcher,
          RunnerIndex aRunner,
@@ -36,14 +39,14 @@
          std::int64_t aRun,
          MonotonicTime aNow);
 
-/// Puts a task's run on a runner's account.
+/// Adds a run of a task to a runner and to the resources in use there.
 void
 AssignToRunner(Dispatcher& aDispatcher,
                RunnerIndex aRunner,
                const TaskRef& aTask);
 
-/// Orders a stop and keeps the run on its runner's account until its end is
-/// known.
+/// Orders a runner to stop a run. The resources of the run stay in use until it
+/// is known to have ended.
 void
 BeginStop(Dispatcher& aDispatcher,
           const TaskRef& aTask,
@@ -51,27 +54,29 @@
           MonotonicTime aNow,
           Actions& aActions);
 
-/// Gives up all runs of a runner whose process or lease has ended.
+/// Ends all runs of a runner whose process or leases have ended.
 void
 EndAllRuns(Dispatcher& aDispatcher,
            Runner& aRunner,
            MonotonicTime aNow,
            Actions& aActions);
 
-/// Opens the steps of an occurrence whose turn has come.
+/// Marks the steps of an occurrence ready whose predecessors have ended.
 void
 MarkReadySteps(Dispatcher& aDispatcher,
                Job& aJob,
                std::uint32_t aOccurrence,
                MonotonicTime aNow);
 
-/// @return the longest chain of estimates from a step to the job's end
+/// @return the sum of the estimated durations along the longest path from a
+/// step
+///         to the end of the job, without steps that have ended
 Millis
 RemainingCriticalPath(const Job& aJob,
                       std::uint32_t aOccurrence,
                       std::uint32_t aStep);
 
-/// Enters a step into the order of service or takes it out.
+/// Adds a step to the waiting steps, or removes it, according to its state.
 void
 UpdateWaiting(Dispatcher& aDispatcher,
               Job& aJob,
@@ -85,10 +90,11 @@
                  std::int64_t aUnixMs,
                  MonotonicTime aNow);
 
+/// Includes a job in the next commit.
 void
 MarkDirty(Dispatcher& aDispatcher, Job& aJob);
 
-/// Gives a job its last phase and stops what runs of it.
+/// Moves a job to its final phase and stops its runs.
 void
 EndJob(Dispatcher& aDispatcher,
        Job& aJob,
@@ -96,21 +102,25 @@
        MonotonicTime aNow,
        Actions& aActions);
 
-/// Lets the next renewal acknowledge the runner's ends that are stored.
+/// Updates which of the runner's ends the next renewal acknowledges: those that
+/// are stored.
 void
 AcknowledgeStored(const Dispatcher& aDispatcher, Runner& aRunner);
 
-/// Removes a job of which nothing is left to do.
+/// Removes a job whose final phase is stored and of which nothing runs.
 void
 EraseIfFinished(Dispatcher& aDispatcher, Job& aJob);
 
+/// @return the task of that name; mJob is null if there is none
 TaskRef
 FindTask(Dispatcher& aDispatcher, const TaskName& aName);
 
+/// @return the queue of that name, or null
 const QueueSpec*
 FindQueue(const Dispatcher& aDispatcher, std::string_view aQueue);
 
-/// Takes note of a finished or failed run in the runner's health.
+/// Updates the health of a runner after one of its runs succeeded or failed,
+/// and quarantines it after too many failures.
 void
 UpdateRunnerHealth(Dispatcher& aDispatcher,
                    Runner& aRunner,
@@ -118,69 +128,79 @@
                    RunOutcome aOutcome,
                    MonotonicTime aNow);
 
-/// Emits what keeps the first steps that have waited for long from starting.
+/// Logs for a few steps that have waited long how many runners can't take their
+/// tasks, and why.
 void
 ExplainWaiting(Dispatcher& aDispatcher, MonotonicTime aNow);
 
-// Disturbance of lasting tasks by tasks without reservation.
+// Interference of best-effort tasks with long-running tasks.
 
-/// Figures are of the last half second: those of a task count from this long
-/// after its start or change of pace.
+/// Runners report the load of the last half second. A report reflects the start
+/// or the change of pace of a task only after this time.
 inline constexpr Millis kReportLag{ 600 };
-/// A smaller rise of utilization decides nothing.
+/// Tasks that raise the utilization by less than this are not throttled.
 inline constexpr double kNegligibleRise = 0.01;
-/// A rise by all neighbours of which nobody is slowed down for. Smaller values
-/// hold many harmless tasks up for few serving tasks that they would make miss
-/// their target; larger ones cost serving tasks more than is gained.
+/// Rise of utilization by all best-effort tasks of a runner that is always
+/// allowed. With smaller values, many harmless tasks are throttled to protect
+/// the few serving tasks that would miss their target; with larger values,
+/// serving tasks lose more than best-effort tasks gain.
 inline constexpr double kToleratedRise = 0.09;
-/// A calm task may turn busy before the next figures show it.
+/// Smallest pressure factor that is assumed of a task for the near future. A
+/// task in its calm phase may become busy before the next report shows it.
 inline constexpr double kMinPressureFactor = 0.6;
 
-/// @return whether the task serves users of its own and reports their tail
+/// @return whether the task is a serving task: a running long-running task with
+///         a tail latency target that has reported its tail latency
 bool
 IsServing(const TaskRef& aTask);
 
 bool
 IsBestEffort(const TaskRef& aTask);
 
-/// @return whether the task's figures are of its present pace
+/// @return whether the reported load of the task reflects its present pace
 bool
 ReflectsCurrentPace(const Task& aTask, MonotonicTime aNow);
 
-/// @return how strongly a task disturbs beside a task of full activity: a calm
-///         phase disturbs much less than it uses less
+/// @return the interference of a task with this CPU use ratio, relative to a
+///         task with ratio 1. Interference falls much faster than CPU use.
 double
 PressureFactor(double aActivity);
 
-/// @return share of the runner's processors by which the task disturbs, as last
-///         reported
+/// @return the pressure of a best-effort task: its share of the runner's
+///         processors, scaled by its pace and its pressure factor. The rise of
+///         utilization that it causes is proportional to its pressure.
 double
 PressureOf(const Runner& aRunner, const TaskRef& aTask);
 
-/// Takes note of what a task without reservation uses.
+/// Updates the CPU use ratio of a best-effort task from its reported load.
 void
 UpdateCpuUseRatio(const TaskRef& aTask, MonotonicTime aNow);
 
-/// Learns from the tails that a runner has just reported.
+/// Updates the estimates of interference from the tail latencies that a runner
+/// has just reported.
 void
 LearnFromTails(Dispatcher& aDispatcher, Runner& aRunner, MonotonicTime aNow);
 
-/// @return the rise of utilization that a task without reservation is feared to
-///         cause to the runner's lasting tasks, or nothing if it must not start
-///         there
-/// Only valid after SummarizeServingLoad() in the same pass.
+/// SummarizeServingLoad() must have been called for the runner in the same
+/// pass.
+/// @return the upper bound of the rise of utilization that a best-effort task
+///         would cause to the serving tasks of the runner, or nothing if it
+///         must not start there
 std::optional<double>
 InterferenceCost(const Dispatcher& aDispatcher,
                  const Runner& aRunner,
                  const TaskRef& aTask,
                  MonotonicTime aNow);
 
-/// @return how far any image may run there without disturbing, 0 to 1
-/// Only valid after SummarizeServingLoad() in the same pass.
+/// SummarizeServingLoad() must have been called for the runner in the same
+/// pass.
+/// @return how well the serving tasks of the runner tolerate any best-effort
+///         image, from 0 to 1
 double
 InterferenceTolerance(const Dispatcher& aDispatcher, const Runner& aRunner);
 
-/// @return the rise that a task on the runner is feared to cause at full pace
+/// @return the upper bound of the rise of a serving step's utilization that a
+///         task on the runner causes at full pace
 double
 UtilizationRiseBound(const Dispatcher& aDispatcher,
                      const Runner& aRunner,
@@ -188,34 +208,35 @@
                      const ServingStepLoad& aServing,
                      MonotonicTime aNow);
 
-/// Sums up a runner's lasting tasks and their neighbours for one placement
-/// pass.
+/// Summarizes the load of the serving tasks on a runner, and the interference
+/// of the best-effort tasks beside them, for one placement pass.
 void
 SummarizeServingLoad(Dispatcher& aDispatcher,
                      Runner& aRunner,
                      MonotonicTime aNow);
 
-/// Adds a task that was started during the pass to its runner's sums.
+/// Adds a task that was started during the pass to that summary.
 void
 AddNeighbourLoad(const Dispatcher& aDispatcher,
                  Runner& aRunner,
                  const TaskRef& aTask,
                  MonotonicTime aNow);
 
-/// @return whether the runner's tasks without reservation get much less than
-///         they ask for
+/// @return whether the runner's best-effort tasks get much less CPU time than
+///         they demand
 bool
 IsBestEffortStarved(const Runner& aRunner, MonotonicTime aNow);
 
-/// Adjusts the pace of tasks without reservation to the lasting tasks beside
-/// them.
+/// Throttles the best-effort tasks of a runner so that its serving tasks keep
+/// their tail latency targets, and moves tasks that would be slow for long.
 void
 AdjustPace(Dispatcher& aDispatcher,
            RunnerIndex aRunner,
            MonotonicTime aNow,
            Actions& aActions);
 
-/// Forgets everything about a runner's former process.
+/// Handles the restart of a runner: ends the runs of its former process and
+/// resets the state that depends on it.
 void
 ResetRunner(Dispatcher& aDispatcher,
             RunnerIndex aRunner,
@@ -223,23 +244,27 @@
             MonotonicTime aNow,
             Actions& aActions);
 
-/// Recomputes when the runner's leases have surely ended.
+/// Updates the time from which all leases of the runner have certainly ended.
 void
 UpdateLeaseExpiry(Dispatcher& aDispatcher, Runner& aRunner);
 
-/// @return the lease end, on the runner's clock, that an order sent now grants
+/// Extends the leases of a runner by an order that is sent now.
+/// @return the lease end to send, on the runner's clock
 std::int64_t
 GrantLease(Dispatcher& aDispatcher, Runner& aRunner, MonotonicTime aNow);
 
-/// @return whether service discovery lists the runner, or did until just now
+/// @return whether service discovery lists the runner, or has listed it within
+///         the grace period
 bool
 WasRecentlyListed(const Runner& aRunner, MonotonicTime aNow);
 
-/// @return processors that tasks without reservation may still use; negative if
-///         they have asked for more than there is
+/// @return the processors, in thousandths of a core, that further best-effort
+///         tasks may use; negative if the present ones demand more than there
+///         is
 std::int64_t
 UnusedMilliCores(const Runner& aRunner);
 
+/// Passes an event to the log.
 void
 Emit(const Dispatcher& aDispatcher,
      std::string_view aEvent,
--- a/Libraries/LibDispatch/Job.h
+++ b/Libraries/LibDispatch/Job.h
@@ -18,10 +18,11 @@
 
 enum class TaskPhase : std::uint8_t
 {
-  Waiting,  ///< Runs nowhere, or its step's turn has not come.
-  Starting, ///< A start was sent and is unanswered.
+  Waiting,  ///< No runner runs the task, or its step is not ready yet.
+  Starting, ///< A start order was sent and has not been answered.
   Running,
-  Stopping, ///< May run; a stop is being sent until its end is known.
+  Stopping, ///< The task may still run. Stop orders are repeated until its run
+            ///< is known to have ended.
   Done
 };
 
@@ -29,93 +30,115 @@
 enum class StopCause : std::uint8_t
 {
   None,
-  StartUnanswered, ///< Its start got no answer.
-  Cancelled,
-  Moved ///< Runs again elsewhere.
+  StartUnanswered, ///< The start order got no answer, so the task may run.
+  Cancelled,       ///< The job was cancelled or has failed.
+  Moved            ///< The task is to continue on another runner.
 };
 
-/// Activity of a task that has not reported yet, between the two phases.
+/// CPU use ratio that is assumed until a task has reported. It lies between the
+/// values of calm and busy phases.
 inline constexpr double kDefaultCpuUseRatio = 0.85;
 
+/// State of one task of a step.
 struct Task
 {
   TaskPhase mPhase = TaskPhase::Waiting;
   StopCause mStopCause = StopCause::None;
-  std::uint8_t mPacePercent = 100; ///< Percent, as last ordered.
-  /// Whether the runner is known to have taken the order. An order may be lost,
-  /// carried out late, or have been given by an earlier owner.
+  /// Share of its full speed to which the runner was last ordered to throttle
+  /// the task.
+  std::uint8_t mPacePercent = 100;
+  /// Whether the runner can be assumed to apply mPacePercent. An order may be
+  /// lost or applied late, and an earlier owner may have ordered another pace.
   bool mPaceConfirmed = true;
   MonotonicTime mPaceSentAt;
-  /// Runs that failed. Their numbers are kept because an end that is stored but
-  /// not yet acknowledged is listed again to a later owner.
+  /// Numbers of the runs that failed. They are kept so that no failure is
+  /// counted twice: a runner reports an end that was stored but not
+  /// acknowledged again to a later owner.
   std::vector<std::int64_t> mFailedRuns;
-  std::int64_t mRun = 0; ///< Number of the latest start.
-  RunnerIndex mRunner = kNoRunner;
-  std::int32_t mProgressPercent = -1; ///< Percent, as last reported.
-  std::int32_t mReportedLoad = 0;     ///< Tail in ms, or thousandths of a core.
-  /// Share of the processors asked for, at its pace, that it uses. Tasks
-  /// alternate between calm and busy phases of a few seconds.
+  std::int64_t mRun = 0;              ///< Number of the latest run.
+  RunnerIndex mRunner = kNoRunner;    ///< Runner that may run the task now.
+  std::int32_t mProgressPercent = -1; ///< As last reported; -1: unknown.
+  /// Load as last reported: of a serving task, the tail latency in
+  /// milliseconds; of another task, its CPU use in thousandths of a core. 0:
+  /// none has been reported.
+  std::int32_t mReportedLoad = 0;
+  /// Ratio of the processors that the task uses to those that it demands at its
+  /// present pace. Tasks alternate between calm and busy phases of a few
+  /// seconds.
   double mCpuUseRatio = kDefaultCpuUseRatio;
-  MonotonicTime mStartedAt;         ///< When the latest start was sent.
-  MonotonicTime mStartAnsweredAt;   ///< When that start was acknowledged.
-  MonotonicTime mProgressChangedAt; ///< When the progress last changed.
+  MonotonicTime mStartedAt;       ///< When the latest start order was sent.
+  MonotonicTime mStartAnsweredAt; ///< When that order was acknowledged.
+  MonotonicTime mProgressChangedAt;
   MonotonicTime mStopSentAt;
-  /// When the runner answered a stop of this run; set while Stopping.
+  /// When the runner answered a stop order for this run. Only set while the
+  /// task is in phase Stopping.
   std::optional<MonotonicTime> mStopAnsweredAt;
+  /// Start of the period for which the tail latency has been over its target.
   std::optional<MonotonicTime> mOverTargetSince;
-  /// Since when its pace has been low.
+  /// Start of the period for which the task has been throttled strongly.
   std::optional<MonotonicTime> mLowPaceSince;
+  /// Runner on which the latest run failed. The task avoids it next time.
   RunnerIndex mFailedOn = kNoRunner;
-  std::string mCheckpoint; ///< Latest checkpoint, empty if none.
+  std::string mCheckpoint; ///< Latest checkpoint, or empty.
 };
 
-/// One step of one occurrence.
+/// State of one step of one occurrence.
 struct Step
 {
   std::vector<Task> mTasks;
   std::uint32_t mDoneTasks = 0;
-  std::uint32_t mWaitingTasks = 0; ///< Tasks in phase Waiting.
-  std::uint32_t mImageIndex = 0;   ///< Index of its image in Interference.
-  bool mReady = false;             ///< All earlier steps have ended.
+  std::uint32_t mWaitingTasks = 0; ///< Number of tasks in phase Waiting.
+  std::uint32_t mImageIndex = 0;   ///< Index of the image in Interference.
+  bool mReady = false;             ///< Whether all predecessors have ended.
   MonotonicTime mReadySince;
-  /// Longest chain of estimates from this step to the job's end.
+  /// Sum of the estimated durations along the longest path from this step to
+  /// the end of the job.
   Millis mRemainingCriticalPath{ 0 };
-  UtilizationFilter mUtilizationFilter; ///< Of a serving step.
+  /// Utilization of a serving step without interference.
+  UtilizationFilter mUtilizationFilter;
 };
 
+/// One execution of all steps of a job.
 struct Occurrence
 {
   std::vector<Step> mSteps;
   std::uint32_t mStepsDone = 0;
-  MonotonicTime mSoftDeadline; ///< When its objective ends.
+  /// Time by which it should end. Later ends are worth less, but allowed.
+  MonotonicTime mSoftDeadline;
 };
 
 enum class JobPhase : std::uint8_t
 {
   Active,
-  Cancelled, ///< Cancelled by its client; its tasks are being stopped.
+  Cancelled, ///< The client cancelled the job. Its runs are being stopped.
   Failed,
   Completed
 };
 
+/// State of an accepted job.
 struct Job
 {
   JobSpec mSpec;
   JobPhase mPhase = JobPhase::Active;
   MonotonicTime mAcceptedAt;
-  std::map<std::uint32_t, Occurrence> mOccurrences; ///< Begun, not all done.
+  /// Occurrences that have begun, by number. One that has ended is removed when
+  /// none of its tasks runs any more.
+  std::map<std::uint32_t, Occurrence> mOccurrences;
   std::uint32_t mOccurrencesBegun = 0;
   std::uint32_t mOccurrencesDone = 0;
-  std::uint32_t mActiveRuns = 0; ///< Tasks Starting, Running or Stopping.
+  /// Number of tasks in the phases Starting, Running and Stopping.
+  std::uint32_t mActiveRuns = 0;
+  /// Number in the order in which this owner took in its jobs.
   std::uint64_t mArrivalNumber = 0;
-  bool mInherited =
-    false;             ///< Known to an earlier owner, which may have begun it.
-  bool mBegan = false; ///< A task has been started at some time.
-  bool mDirty = false; ///< Has changes that no commit carries yet.
-  bool mTerminalCommitted = false;
+  /// Whether an earlier owner may have started tasks of the job. It is cleared
+  /// when the recovery after the takeover is complete.
+  bool mInherited = false;
+  bool mBegan = false; ///< Whether any task has ever been started.
+  bool mDirty = false; ///< Whether there are changes that no commit carries.
+  bool mTerminalCommitted = false; ///< Whether the final phase is stored.
 };
 
-/// Names one task of a job.
+/// Reference to a task of a known job.
 struct TaskRef
 {
   Job* mJob = nullptr;
@@ -125,7 +148,7 @@
   bool operator==(const TaskRef&) const = default;
 };
 
-/// A task by name, before it is looked up.
+/// Name of a task, whose job may be unknown.
 struct TaskName
 {
   std::string mJob;
@@ -134,14 +157,16 @@
   std::uint32_t mIndex = 0;
 };
 
-/// The durable part of a job's progress.
+/// The part of a step's progress that is stored.
 struct StepProgress
 {
-  std::vector<bool> mDone;
+  std::vector<bool> mDone; ///< By task index.
+  /// Numbers of the failed runs, by task index.
   std::map<std::uint32_t, std::vector<std::int64_t>> mFailedRuns;
-  std::map<std::uint32_t, std::string> mCheckpoints;
+  std::map<std::uint32_t, std::string> mCheckpoints; ///< By task index.
 };
 
+/// The part of a job's progress that is stored.
 struct JobProgress
 {
   JobPhase mPhase = JobPhase::Active;
--- a/Libraries/LibDispatch/Runner.h
+++ b/Libraries/LibDispatch/Runner.h
@@ -17,55 +17,60 @@
 {
   std::string mId;
   std::string mAddress;
-  std::string mService;
+  std::string mService; ///< Service whose tasks it runs.
   std::string mDataCentre;
   std::string mRack;
   std::vector<std::string> mLabels;
   Resources mCapacity;
-  bool mDraining = false;
+  bool mDraining = false; ///< Whether it is to get no further tasks.
+  /// Time until the runner reaches its full speed.
   Millis mWarmUpRemaining{ 0 };
-  std::int64_t mIncarnation = 0; ///< Unix milliseconds of its start.
+  /// Identifies the runner's process: the time of its start in Unix
+  /// milliseconds.
+  std::int64_t mIncarnation = 0;
 };
 
-/// A run that a runner may still have.
+/// A run that may still be running on a silent runner.
 struct PossibleRun
 {
   TaskName mTask;
   std::int64_t mRun = 0;
 };
 
-/// A runner that an earlier owner used.
+/// A runner on which an earlier owner of the shard may have started tasks.
 struct InheritedRunner
 {
   RunnerSpec mSpec;
-  /// All that it may run, if the earlier owner recorded that while the runner
-  /// was silent. Without a record it may run anything.
+  /// All runs that it may have, if the earlier owner recorded them while the
+  /// runner was silent. Without a record it may run any task of the shard.
   std::optional<std::vector<PossibleRun>> mPossibleRuns;
 };
 
-/// How a run ended, as the runner lists it.
+/// How a run ended, as the runner reports it.
 enum class EndKind : std::uint8_t
 {
   Done,
   Failed,
   Stopped,
-  LeaseExpired,    ///< Its lease ended.
-  GangMemberEnded, ///< Another member of its gang ended.
-  GangIncomplete   ///< Its gang did not assemble.
+  LeaseExpired,
+  GangMemberEnded, ///< Another member of the gang ended early.
+  GangIncomplete   ///< Some members of the gang did not start in time.
 };
 
+/// A run that a runner reports as running.
 struct RunningEntry
 {
   TaskName mTask;
   std::int64_t mRun = 0;
-  std::string mCheckpoint;
+  std::string mCheckpoint; ///< Latest checkpoint, or empty.
   std::int32_t mProgressPercent = 0;
-  std::int32_t mReportedLoad = 0;
+  std::int32_t mReportedLoad = 0; ///< See Task::mReportedLoad.
 };
 
+/// A run that a runner reports as ended, until the end is acknowledged.
 struct EndEntry
 {
-  std::int64_t mNumber = 0;
+  std::int64_t mNumber = 0; ///< Number in the order of the runner's ends.
   TaskName mTask;
   std::int64_t mRun = 0;
   EndKind mKind = EndKind::Stopped;
@@ -75,27 +80,35 @@
 /// A runner's answer to a lease renewal.
 struct RunnerReport
 {
-  std::int64_t mClockMs = 0; ///< The runner's steady clock.
+  std::int64_t mClockMs = 0; ///< Reading of the runner's monotonic clock.
   std::int64_t mIncarnation = 0;
   std::vector<RunningEntry> mRunning;
   std::vector<EndEntry> mEnds;
 };
 
-/// The tasks of one serving step on a runner, summed up for placement and pace.
+/// Load of the tasks of one serving step on a runner, which limits the
+/// best-effort tasks beside them. All members are utilizations from 0 to 1.
 struct ServingStepLoad
 {
   Step* mStep = nullptr;
-  double mMeasuredUtilization = 0; ///< Highest utilization by its tails.
-  double mUtilizationLimit =
-    1; ///< Utilization to keep below, near the target's.
-  double mForecastForPace = 0;      ///< Own utilization expected soon.
-  double mForecastForPlacement = 0; ///< While a new neighbour would run.
-  double mNeighbourRiseBound =
-    0; ///< Feared rise by all neighbours at full pace.
+  /// Highest utilization that the tail latencies of the tasks indicate.
+  double mMeasuredUtilization = 0;
+  /// Limit just below the utilization at which the tail latency reaches its
+  /// target.
+  double mUtilizationLimit = 1;
+  /// Highest utilization without interference that is forecast until the next
+  /// change of pace takes effect.
+  double mForecastForPace = 0;
+  /// The same for the time for which a new best-effort task would run.
+  double mForecastForPlacement = 0;
+  /// Upper bound of the rise that all best-effort tasks on the runner cause at
+  /// full pace.
+  double mNeighbourRiseBound = 0;
 };
 
-/// A run that no known task accounts for. Its size is unknown, so nothing is
-/// started beside it until it has ended.
+/// A run that a runner reports although this owner knows no such run. Its
+/// resource use is unknown, so no task is started on its runner until it has
+/// ended.
 struct OrphanRun
 {
   TaskName mTask;
@@ -106,66 +119,87 @@
 
 enum class RunnerPhase : std::uint8_t
 {
-  AwaitingReport, ///< Not heard from under this owner's epoch.
-  Live,
-  LeaseExpired, ///< Silent for longer than any lease; what it ran has ended.
+  AwaitingReport, ///< It has not answered this owner yet.
+  Live,           ///< It has answered, and its leases may hold.
+  LeaseExpired,   ///< It was silent for longer than its leases last, so
+                  ///< everything that it ran has ended.
 };
 
+/// State of a runner: its tasks, leases, reports and health.
 struct Runner
 {
   RunnerSpec mSpec;
   RunnerPhase mPhase = RunnerPhase::AwaitingReport;
-  bool mListed = false; ///< Service discovery lists it.
-  Resources mReserved;  ///< By reserved tasks; memory by all.
-  std::int64_t mBestEffortMilliCores =
-    0; ///< Asked by tasks without reservation.
-  std::int64_t mLongRunningMilliCores = 0; ///< Reserved by lasting tasks.
-  std::uint32_t mLongRunningTasks = 0;
-  std::uint32_t mUnansweredStarts = 0; ///< Starts without an answer so far.
-  /// Serving images here, as of the present placement pass.
+  bool mListed = false; ///< Whether service discovery lists it.
+  /// Resources that its tasks reserve. Best-effort tasks reserve no processors.
+  Resources mReserved;
+  /// Processors that its best-effort tasks demand.
+  std::int64_t mBestEffortMilliCores = 0;
+  std::int64_t mLongRunningMilliCores = 0; ///< Reserved by long-running tasks.
+  std::uint32_t mLongRunningTasks = 0;     ///< Number of such tasks.
+  std::uint32_t mUnansweredStarts = 0; ///< Number of tasks in phase Starting.
+  /// Load of the serving steps on this runner, as of the latest call of
+  /// SummarizeServingLoad().
   std::vector<ServingStepLoad> mServingSteps;
+  /// Whether best-effort tasks get much less CPU time here than they demand.
   bool mBestEffortStarved = false;
-  bool mTailLatencyUnknown = false; ///< A serving task has not reported yet.
-  std::vector<TaskRef> mTasks; ///< Tasks Starting, Running or Stopping here.
-
-  std::int64_t mClockMs = 0;        ///< In its latest answer.
-  MonotonicTime mClockReadAt;       ///< When that answer was received.
-  MonotonicTime mClockRequestedAt;  ///< When its request was sent.
-  std::int64_t mHighestLeaseMs = 0; ///< Latest lease end ever sent to it.
-  MonotonicTime mLeasesExpireAt;    ///< When its leases have surely ended.
-  /// A renewal got no answer. Nothing that could extend a lease is sent before
-  /// the runner answers, or its tasks could never be given up.
+  /// Whether a serving task here has not reported its tail latency yet.
+  bool mTailLatencyUnknown = false;
+  /// Tasks in the phases Starting, Running and Stopping on this runner.
+  std::vector<TaskRef> mTasks;
+
+  std::int64_t mClockMs = 0;       ///< The runner's clock in its latest answer.
+  MonotonicTime mClockReadAt;      ///< When that answer was received.
+  MonotonicTime mClockRequestedAt; ///< When the request for it was sent.
+  /// Latest lease end that was ever sent to the runner, on its own clock.
+  std::int64_t mHighestLeaseMs = 0;
+  /// Time on this process's clock from which all leases have certainly ended.
+  MonotonicTime mLeasesExpireAt;
+  /// Whether the latest renewal got no answer. Nothing that could extend a
+  /// lease is sent until the runner answers; otherwise its leases might never
+  /// end, and its tasks could never be started elsewhere.
   bool mSilent = false;
   MonotonicTime mSilentSince;
-  /// A stored record says all that it may run, so nothing is started there
-  /// until the record is removed.
+  /// Whether the store holds a record of all runs that the runner may have. No
+  /// task is started on it until the record is removed.
   bool mRecordStored = false;
-  std::size_t mRecordedRunCount = 0; ///< In that record; it only shrinks.
-  /// An earlier owner used it, and this one has not heard from it.
+  /// Number of runs in that record. It can only decrease.
+  std::size_t mRecordedRunCount = 0;
+  /// Whether an earlier owner used the runner and this owner has had no answer
+  /// from it.
   bool mInherited = false;
-  std::optional<std::vector<PossibleRun>>
-    mPossibleRuns; ///< From such a record.
+  /// Runs in the record of an earlier owner, until they are adopted.
+  std::optional<std::vector<PossibleRun>> mPossibleRuns;
 
-  std::int64_t mHighestAppliedEnd = 0; ///< Highest end number applied.
-  std::int64_t mHighestStoredEnd = 0;  ///< Highest whose commit is stored.
-  /// Ends applied and not yet stored: number, commit that stores it.
+  /// Highest number of a reported end that has been applied to its task.
+  std::int64_t mHighestAppliedEnd = 0;
+  /// Highest number of an end whose commit is stored. The next renewal
+  /// acknowledges the ends up to it.
+  std::int64_t mHighestStoredEnd = 0;
+  /// Ends that have been applied but not stored: the number of the end, and the
+  /// sequence number of the commit that stores it.
   std::deque<std::pair<std::int64_t, std::uint64_t>> mUnstoredEnds;
 
   std::vector<OrphanRun> mOrphans;
 
-  MonotonicTime mPaceChangedAt;
-  MonotonicTime mBestEffortEndedAt; ///< When a task without reservation left.
-  MonotonicTime mTailsLearnedAt;    ///< When its tails were last learned from.
+  MonotonicTime mPaceChangedAt;     ///< When a task's pace last changed.
+  MonotonicTime mBestEffortEndedAt; ///< When a best-effort task last ended.
+  /// When interference was last learned from its tail latencies.
+  MonotonicTime mTailsLearnedAt;
 
+  /// Number of runs that failed since the latest success.
   std::uint32_t mConsecutiveFailures = 0;
-  std::string mLastFailedJob;
-  std::uint32_t mDistinctFailedJobs =
-    0; ///< Different jobs among these failures.
-  std::uint32_t mQuarantines = 0;
-  MonotonicTime mAvoidUntil; ///< No start before this.
-  MonotonicTime mQuarantinedAt;
-  bool mOnProbation = false; ///< At most one start at a time.
-  MonotonicTime mUnlistedSince;
+  std::string mLastFailedJob; ///< Job of the latest failure.
+  /// Number of jobs among these failures. A job counts again when it fails
+  /// after another job.
+  std::uint32_t mDistinctFailedJobs = 0;
+  std::uint32_t mQuarantines = 0; ///< Quarantines since the latest success.
+  MonotonicTime mAvoidUntil;      ///< No task is started before this time.
+  MonotonicTime mQuarantinedAt;   ///< When the latest quarantine began.
+  /// Whether the runner is or was quarantined and has not succeeded since. It
+  /// gets one task at a time.
+  bool mOnProbation = false;
+  MonotonicTime mUnlistedSince; ///< When service discovery dropped it.
 };
 
 } // namespace paddle::dispatch
