--- a/Tests/LibDispatch/DispatchWorld.cpp
+++ b/Tests/LibDispatch/DispatchWorld.cpp
@@ -6,24 +6,25 @@
 
 namespace {
 
+/// Step of virtual time.
 constexpr Millis kTimeStep{ 50 };
 
 } // namespace
 
 StepSpec
-FiniteStep(std::uint32_t aTasks, std::int64_t aCores)
+FiniteStep(std::uint32_t aTasks, std::int64_t aMilliCores)
 {
   StepSpec step;
   step.mTaskCount = aTasks;
-  step.mDemand = { aCores, 1000, 0 };
+  step.mDemand = { aMilliCores, 1000, 0 };
   step.mEstimatedDuration = Millis(800);
   return step;
 }
 
 StepSpec
-LongRunningStep(std::uint32_t aTasks, std::int64_t aCores)
+LongRunningStep(std::uint32_t aTasks, std::int64_t aMilliCores)
 {
-  StepSpec step = FiniteStep(aTasks, aCores);
+  StepSpec step = FiniteStep(aTasks, aMilliCores);
   step.mKind = StepKind::LongRunning;
   step.mTailLatencyTarget = Millis(18);
   step.mImage = "serving";
@@ -31,9 +32,11 @@
 }
 
 StepSpec
-BestEffortStep(std::uint32_t aTasks, std::int64_t aCores, std::string aImage)
+BestEffortStep(std::uint32_t aTasks,
+               std::int64_t aMilliCores,
+               std::string aImage)
 {
-  StepSpec step = FiniteStep(aTasks, aCores);
+  StepSpec step = FiniteStep(aTasks, aMilliCores);
   step.mReservation = Reservation::BestEffort;
   step.mImage = std::move(aImage);
   return step;
@@ -125,7 +128,7 @@
 void
 DispatchWorld::PerformOrders()
 {
-  // Answers lead to further orders.
+  // Answers may lead to further orders.
   while (!mActions.empty()) {
     const Actions actions = std::move(mActions);
     mActions.clear();
--- a/Tests/LibDispatch/DispatchWorld.h
+++ b/Tests/LibDispatch/DispatchWorld.h
@@ -9,8 +9,9 @@
 
 namespace paddle::dispatch {
 
-/// Runners in virtual time, driven by a dispatcher's orders. A runner keeps
-/// what it runs and lists its ends until they are acknowledged.
+/// Simulates runners in virtual time. They carry out the orders of a
+/// dispatcher, and report the ends of runs until these are acknowledged. Stored
+/// rows are simulated as well, so that a later owner can take the shard over.
 struct DispatchWorld
 {
   struct Run
@@ -25,63 +26,72 @@
     std::vector<EndEntry> mEnds;
     std::int64_t mNextEnd = 1;
     std::int64_t mIncarnation = 1;
-    bool mAnswers = true;
+    bool mAnswers = true; ///< Whether the runner answers any order.
   };
 
   DispatchWorld();
 
-  /// Lists runners r0, r1, ... of 16 cores and 64 GB, four a rack.
+  /// Lists runners r0, r1, ... with 16 cores and 64 GB each, four in a rack.
   void ListRunners(std::size_t aCount);
-  /// Takes the shard again as a later owner with the progress in mStored.
+  /// Replaces the dispatcher by that of a later owner, which starts from the
+  /// stored progress and records.
   void TakeOver(std::int64_t aEpoch);
 
+  /// Accepts a job and runs a placement pass.
   void AddJob(JobSpec aSpec, PriorRuns aPriorRuns = PriorRuns::None);
-  /// Lets time pass in steps of 50 ms; runners answer renewals at each.
+  /// Lets time pass in steps of 50 ms. In each step, the runners answer a
+  /// renewal and the changed jobs are stored.
   void AdvanceTime(Millis aTime);
-  /// Lets every runner answer one renewal.
+  /// Lets every runner answer a renewal.
   void Report();
   void Report(RunnerIndex aRunner);
   void Tick();
-  void Commit();
+  void Commit(); ///< Stores the changed jobs.
 
-  /// Ends the task's run at its runner, to be listed with its next answer.
+  /// Ends the run of a task on its runner, which reports it with its next
+  /// answer.
   void End(const std::string& aTask, EndKind aKind);
   [[nodiscard]] bool IsRunning(const std::string& aTask) const;
   [[nodiscard]] std::string RunnerOf(const std::string& aTask) const;
   [[nodiscard]] std::size_t RunningTasks() const;
 
+  /// Carries out the orders in mActions and those that follow from the answers.
   void PerformOrders();
 
   Dispatcher mCore;
   std::map<std::string, FakeRunner> mRunners;
-  std::vector<RunnerSpec> mListed;
-  std::map<std::string, JobProgress> mStored;
-  std::map<std::string, JobSpec> mAccepted;
-  /// Records of silent runners that the former owner stored.
+  std::vector<RunnerSpec> mListed; ///< Runners that service discovery lists.
+  std::map<std::string, JobProgress> mStored; ///< Stored progress, by job.
+  std::map<std::string, JobSpec> mAccepted;   ///< Stored jobs.
+  /// Stored records of the runs that silent runners may have, by runner.
   std::map<std::string, std::vector<PossibleRun>> mRecords;
-  std::map<std::string, JobPhase> mEndedJobs;
+  std::map<std::string, JobPhase> mEndedJobs; ///< Final phases, by job.
   Actions mActions;
   MonotonicTime mNow{ Seconds(1000) };
-  /// Starts are performed, unless this holds: then they get no answer.
+  /// Whether start orders are lost, so that they get no answer.
   bool mDropStarts = false;
   std::vector<StartTask> mLostStarts;
   std::vector<PaceTask> mPaceOrders;
-  std::uint32_t mStarts = 0;
-  std::int32_t mProgressPercent =
-    50; ///< Percent that runners report for each run.
-  /// @return the figure that a runner reports for a run; 0 without one
+  std::uint32_t mStarts = 0; ///< Number of start orders, lost ones included.
+  /// Progress that runners report for each run.
+  std::int32_t mProgressPercent = 50;
+  /// Function that returns the load that a runner reports for a run. Without a
+  /// function, Run::mReportedLoad is reported.
   std::function<std::int32_t(const FakeRunner&, const Run&)> mLoadOf;
 };
 
-/// A step of finite tasks that reserve processors.
+/// @return a step of finite tasks that reserve processors
 StepSpec
-FiniteStep(std::uint32_t aTasks, std::int64_t aCores);
-/// A step of lasting tasks with a tail target of 18 ms.
+FiniteStep(std::uint32_t aTasks, std::int64_t aMilliCores);
+/// @return a step of long-running tasks with a tail latency target of 18 ms
 StepSpec
-LongRunningStep(std::uint32_t aTasks, std::int64_t aCores);
-/// A step of tasks without reservation.
+LongRunningStep(std::uint32_t aTasks, std::int64_t aMilliCores);
+/// @return a step of finite best-effort tasks
 StepSpec
-BestEffortStep(std::uint32_t aTasks, std::int64_t aCores, std::string aImage);
+BestEffortStep(std::uint32_t aTasks,
+               std::int64_t aMilliCores,
+               std::string aImage);
+/// @return a job in the only queue
 JobSpec
 MakeJob(std::string aId, std::vector<StepSpec> aSteps);
 
--- a/Tests/LibDispatch/TestInterference.cpp
+++ b/Tests/LibDispatch/TestInterference.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-/// Tails in milliseconds of a serving task at rest, and beside a neighbour that
-/// disturbs it. The target is 18 ms.
-constexpr std::int32_t kRestingTail = 7;
-constexpr std::int32_t kDisturbedTail = 60;
+/// Tail latencies that a serving task reports when it runs alone, and beside a
+/// task that interferes with it. The target is 18 ms.
+constexpr std::int32_t kUndisturbedTailMs = 7;
+constexpr std::int32_t kRaisedTailMs = 60;
 
+/// @return whether the run belongs to a job whose name begins with this text
 bool
 StartsWith(const DispatchWorld::Run& aRun, const char* aJob)
 {
@@ -23,12 +24,13 @@
 
 } // namespace
 
-TEST_GROUP(Disturbance)
+TEST_GROUP(Interference)
 {
   DispatchWorld mWorld;
 
-  /// Two runners, each full of one serving image; tasks of the jobs "loud..."
-  /// disturb the image of the job "first" only.
+  /// Starts two serving jobs on two runners, each of which has room for one of
+  /// them. Best-effort tasks of the jobs "loud..." interfere with the image of
+  /// the job "first", but not with that of "second".
   void Begin()
   {
     StepSpec first = LongRunningStep(2, 7000);
@@ -43,9 +45,9 @@
                                       return StartsWith(aOther, "loud");
                                     });
       if (StartsWith(aRun, "first")) {
-        return loud ? kDisturbedTail : kRestingTail;
+        return loud ? kRaisedTailMs : kUndisturbedTailMs;
       }
-      return StartsWith(aRun, "second") ? kRestingTail : 2000;
+      return StartsWith(aRun, "second") ? kUndisturbedTailMs : 2000;
     };
     mWorld.ListRunners(2);
     mWorld.AddJob(MakeJob("first", { first }));
@@ -53,7 +55,8 @@
     mWorld.AdvanceTime(Seconds(4));
   }
 
-  /// @param aPause between the end of a job and the next
+  /// Runs twelve interfering jobs one after the other. @param aPause time
+  /// between the end of a job and the next
   void RunTwelveLoudJobs(Millis aPause)
   {
     for (int i = 0; i < 12; ++i) {
@@ -66,9 +69,10 @@
   }
 };
 
-// Guards against mixed serving images: each runner takes one of them where
-// there is room, so that a disturbing image still finds places.
-TEST(Disturbance, KeepsServingImagesApart)
+// Guards against placing different serving images on one runner although
+// another has room: no runner would be left where an image that interferes with
+// one of them may run.
+TEST(Interference, KeepsServingImagesOnSeparateRunners)
 {
   Begin();
   STRCMP_EQUAL(mWorld.RunnerOf("first.0.0.0").c_str(),
@@ -76,10 +80,10 @@
   CHECK_TRUE(mWorld.RunnerOf("first.0.0.0") != mWorld.RunnerOf("second.0.0.0"));
 }
 
-// The load of a calm day on prensa-comun: an image disturbs one serving image
-// and not another. Guards against slowing it down everywhere, and against
-// putting it where it disturbs again and again.
-TEST(Disturbance, LearnsWhichImageDisturbsWhich)
+// Guards against throttling an image on all runners although it interferes with
+// only one serving image, and against placing it beside that image again and
+// again.
+TEST(Interference, LearnsWhichImagesInterfere)
 {
   Begin();
   RunTwelveLoudJobs(Millis(200));
@@ -94,14 +98,16 @@
   }
 }
 
-// Guards against a serving task that stays over its target for four seconds
-// while what disturbs it works on.
-TEST(Disturbance, ActsBeforeAServingTaskIsHarmed)
+// Guards against a serving task that stays over its latency target for the
+// allowed four seconds because the task that interferes with it is not
+// throttled.
+TEST(Interference, ThrottlesBeforeTheAllowedTimeOverTarget)
 {
   Begin();
   mWorld.AddJob(MakeJob("loud", { BestEffortStep(1, 2000, "loud-image") }));
   if (mWorld.RunnerOf("loud.0.0.0") != mWorld.RunnerOf("first.0.0.0")) {
-    // It went where it disturbs nothing; there is nothing to act on.
+    // The task was placed where it does not interfere, so nothing must be
+    // throttled.
     return;
   }
   mWorld.AdvanceTime(Seconds(3));
@@ -113,9 +119,9 @@
              mWorld.RunnerOf("loud.0.0.0") != mWorld.RunnerOf("first.0.0.0"));
 }
 
-// Guards against tasks that stay halted for good after a takeover: the new
-// owner does not know at which pace they run (prensa-comun scale-1).
-TEST(Disturbance, StatesThePaceOfAdoptedTasks)
+// Guards against tasks that stay halted forever after a takeover, because the
+// new owner does not know which pace the earlier owner ordered.
+TEST(Interference, OrdersThePaceOfAdoptedTasks)
 {
   Begin();
   mWorld.AddJob(MakeJob("idle", { BestEffortStep(1, 2000, "idle-image") }));
@@ -129,10 +135,10 @@
                 [](const PaceTask& aPace) { return aPace.mPercent == 100; }));
 }
 
-// Guards against taking a calm phase, in which a task uses two thirds of what
-// it asks for, for a runner without room: its neighbour would wait for nothing
-// (thenpetti quiet-1, where half of the work waited beside idle processors).
-TEST(Disturbance, CalmPhasesAreNoLackOfRoom)
+// Guards against taking the calm phase of a task, in which it uses two thirds
+// of its demand, for a lack of CPU time on its runner: half of the tasks would
+// wait although processors are idle.
+TEST(Interference, CalmPhasesAreNotTakenForStarvation)
 {
   mWorld.mLoadOf = [](const DispatchWorld::FakeRunner&,
                       const DispatchWorld::Run&) -> std::int32_t {
@@ -146,10 +152,10 @@
   CHECK_TRUE(mWorld.IsRunning("next.0.0.0"));
 }
 
-// Guards against lasting tasks that open a new runner for each image and for
-// each task of a step that is kept apart: no runner is left for tasks that
-// disturb all of them (thenpetti quiet-1).
-TEST(Disturbance, LastingTasksLeaveRunnersFree)
+// Guards against long-running tasks that occupy a new runner for each image,
+// and for each task of a step with a limit per runner: no runner would be left
+// for tasks that interfere with all of them.
+TEST(Interference, LongRunningTasksLeaveRunnersFree)
 {
   mWorld.ListRunners(10);
   for (int i = 0; i < 4; ++i) {
@@ -166,10 +172,11 @@
   CHECK_TRUE(free >= 2);
 }
 
-// The load of a calm day on thenpetti: images that disturb most serving images,
-// one serving image that none disturbs, and images that disturb nothing. Guards
-// against filling the places where everything may run with the latter.
-TEST(Disturbance, HarmlessTasksLeaveOpenRunnersToOthers)
+// Guards against filling runners that tolerate any image with harmless tasks.
+// Here, "loud" tasks interfere with the serving image "touchy" but not with
+// "steady", and "mild" tasks interfere with neither; so the "mild" ones must
+// leave the runner of "steady" to the "loud" ones.
+TEST(Interference, HarmlessTasksAvoidTolerantRunners)
 {
   StepSpec touchy = LongRunningStep(2, 7000);
   touchy.mImage = "touchy-image";
@@ -178,7 +185,7 @@
   mWorld.mLoadOf = [](const DispatchWorld::FakeRunner& aRunner,
                       const DispatchWorld::Run& aRun) -> std::int32_t {
     if (StartsWith(aRun, "steady")) {
-      return kRestingTail;
+      return kUndisturbedTailMs;
     }
     if (!StartsWith(aRun, "touchy")) {
       return 2000;
@@ -188,7 +195,7 @@
                                   [](const DispatchWorld::Run& aOther) {
                                     return StartsWith(aOther, "loud");
                                   });
-    return loud ? kDisturbedTail : kRestingTail;
+    return loud ? kRaisedTailMs : kUndisturbedTailMs;
   };
   mWorld.ListRunners(2);
   mWorld.AddJob(MakeJob("touchy", { touchy }));
@@ -215,9 +222,9 @@
   STRCMP_EQUAL(open.c_str(), mWorld.RunnerOf("loud-last.0.0.0").c_str());
 }
 
-// Guards against slowing a harmless neighbour down because a serving task is
-// near its target by its own load (thenpetti quiet-1).
-TEST(Disturbance, OwnLoadSlowsNobodyDown)
+// Guards against throttling a harmless task because the serving task beside it
+// is near its latency target due to its own load.
+TEST(Interference, LoadOfTheServingTaskDoesNotThrottleNeighbours)
 {
   StepSpec step = LongRunningStep(1, 7000);
   const MonotonicTime begin = mWorld.mNow;
@@ -226,8 +233,8 @@
     if (!StartsWith(aRun, "serving")) {
       return 1500;
     }
-    // The tail rises for ten seconds and stays just below the target of 18 ms,
-    // whatever runs beside it.
+    // The tail latency rises for ten seconds and stays just below the target of
+    // 18 ms, whatever runs beside the serving task.
     const auto seconds = (mWorld.mNow - begin) / Seconds(1);
     return 7 + static_cast<std::int32_t>(std::min<std::int64_t>(10, seconds));
   };
@@ -246,9 +253,10 @@
   }
 }
 
-// Guards against learning again after each takeover, at the cost of the serving
-// tasks (inc-cafe on prensa-comun: three owners within 25 s).
-TEST(Disturbance, ANewOwnerKnowsWhatWasLearned)
+// Guards against learning the effects of images again after each takeover,
+// which makes serving tasks miss their targets. A shard may have three owners
+// within 25 s.
+TEST(Interference, ANewOwnerKeepsTheLearnedEffects)
 {
   Begin();
   RunTwelveLoudJobs(Millis(700));
--- a/Tests/LibDispatch/TestOrder.cpp
+++ b/Tests/LibDispatch/TestOrder.cpp
@@ -7,17 +7,17 @@
 using namespace paddle;
 using namespace paddle::dispatch;
 
-TEST_GROUP(Order){};
+TEST_GROUP(PlacementOrder){};
 
-// A backlog, as in the heaviest seconds of a day. Guards against serving the
-// oldest first when it is late anyway, which made every later job late too.
-TEST(Order, ServesWhatCanBeInTimeBeforeWhatIsLate)
+// Guards against placing the oldest job of a backlog first although it is late
+// anyway: every later job would become late as well.
+TEST(PlacementOrder, PlacesJobsInTimeBeforeLateJobs)
 {
   DispatchWorld world;
   world.ListRunners(1);
   world.AddJob(MakeJob("running", { FiniteStep(1, 16000) }));
   world.AddJob(MakeJob("late", { FiniteStep(1, 16000) }));
-  world.AdvanceTime(Seconds(4)); // Its objective was two seconds.
+  world.AdvanceTime(Seconds(4)); // It should have ended within two seconds.
   world.AddJob(MakeJob("fresh", { FiniteStep(1, 16000) }));
   world.End("running.0.0.0", EndKind::Done);
   world.AdvanceTime(Millis(200));
@@ -27,8 +27,9 @@
   CHECK_TRUE(world.IsRunning("late.0.0.0"));
 }
 
-// Guards against a lasting task that is parked behind finite ones.
-TEST(Order, RestartsLastingTasksFirst)
+// Guards against a long-running task that waits behind finite tasks for its
+// restart.
+TEST(PlacementOrder, RestartsLongRunningTasksFirst)
 {
   DispatchWorld world;
   world.ListRunners(1);
@@ -39,9 +40,8 @@
   CHECK_TRUE(world.IsRunning("lasting.0.0.0"));
 }
 
-// Guards against starting a step before all tasks of the step before it are
-// done.
-TEST(Order, KeepsTheOrderOfSteps)
+// Guards against starting a step before all tasks of its predecessor are done.
+TEST(PlacementOrder, StartsAStepAfterItsPredecessors)
 {
   DispatchWorld world;
   world.ListRunners(2);
@@ -56,9 +56,9 @@
   CHECK_TRUE(world.IsRunning("job.0.1.0"));
 }
 
-// Guards against more tasks of a step on one runner than it allows, and against
-// runners without the label that it requires.
-TEST(Order, KeepsTheLimitsOfAStep)
+// Guards against starting more tasks of a step on one runner than the step
+// allows, and against runners without the label that the step requires.
+TEST(PlacementOrder, KeepsTheTaskLimitAndTheLabelOfAStep)
 {
   DispatchWorld world;
   world.ListRunners(4);
@@ -74,8 +74,8 @@
   CHECK_FALSE(world.IsRunning("labelled.0.0.0"));
 }
 
-// Guards against a gang of which some members start without the others.
-TEST(Order, StartsAGangAsAWholeOrNotAtAll)
+// Guards against starting some tasks of a gang without the others.
+TEST(PlacementOrder, StartsAllTasksOfAGangOrNone)
 {
   DispatchWorld world;
   world.ListRunners(2);
--- a/Tests/LibDispatch/TestRunners.cpp
+++ b/Tests/LibDispatch/TestRunners.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Lets four jobs fail one after the other, and cancels them.
+/// Lets the tasks of four jobs fail one after the other, and cancels the jobs.
 void
 FailFourJobs(DispatchWorld& aWorld)
 {
@@ -27,9 +27,9 @@
 
 TEST_GROUP(Runners){};
 
-// Guards against renewals that are sent in vain and extend the lease that the
-// runner may hold: its lasting tasks were never restarted elsewhere.
-TEST(Runners, GivesUpTheTasksOfASilentRunnerAfterOneLease)
+// Guards against renewals to a silent runner that each extend the lease it may
+// hold: its long-running tasks would never be restarted on another runner.
+TEST(Runners, RestartsTheTasksOfASilentRunnerAfterOneLease)
 {
   DispatchWorld world;
   world.ListRunners(4);
@@ -43,8 +43,8 @@
   LONGS_EQUAL(2, world.mStarts);
 }
 
-// Guards against a second run of a task whose start got no answer and is
-// carried out seconds later.
+// Guards against starting a second run of a task whose start order got no
+// answer but is carried out seconds later.
 TEST(Runners, StopsAnUnansweredRunBeforeTheNext)
 {
   DispatchWorld world;
@@ -54,14 +54,15 @@
   world.mDropStarts = false;
   LONGS_EQUAL(1, world.mStarts);
   LONGS_EQUAL(1, world.mLostStarts.size());
-  // The stop is answered; the next report shows that the run never began.
+  // The stop order is answered, and the next report shows that the run never
+  // started.
   world.AdvanceTime(Millis(200));
   LONGS_EQUAL(2, world.mStarts);
   LONGS_EQUAL(1, world.RunningTasks());
 }
 
-// Guards against a start for the former process of a runner that is carried
-// out by the new one, beside a run elsewhere.
+// Guards against a start order to the former process of a runner that the new
+// process carries out, while the task also runs on another runner.
 TEST(Runners, StopsUnansweredRunsAtARestartedRunner)
 {
   DispatchWorld world;
@@ -72,14 +73,15 @@
   const StartTask lost = world.mLostStarts.at(0);
   const std::string id = world.mCore.mRunners[lost.mRunner].mSpec.mId;
   world.mRunners[id].mIncarnation = 2;
-  // The late start reaches the new process.
+  // The late start order reaches the new process.
   world.mRunners[id].mRunning.push_back({ "job.0.0.0", lost.mRun });
   world.AdvanceTime(Millis(300));
   LONGS_EQUAL(1, world.RunningTasks());
 }
 
-// Guards against placing over a runner's capacity while a stop is under way.
-TEST(Runners, KeepsTheRoomOfAStoppingTask)
+// Guards against exceeding the capacity of a runner because a task that is
+// being stopped no longer counts.
+TEST(Runners, CountsAStoppingTaskAsUsingItsResources)
 {
   DispatchWorld world;
   world.ListRunners(1);
@@ -94,8 +96,8 @@
   LONGS_EQUAL(2, world.mStarts);
 }
 
-// Guards against acknowledging an end before its commit: a later owner would
-// never learn of it.
+// Guards against acknowledging the end of a run before it is stored: a later
+// owner would never learn of it.
 TEST(Runners, AcknowledgesEndsAfterTheirCommit)
 {
   DispatchWorld world;
@@ -108,7 +110,7 @@
   LONGS_EQUAL(1, PlanRenewal(world.mCore, 0, world.mNow).mAcknowledgedEnd);
 }
 
-// Guards against new starts on a runner that is about to leave.
+// Guards against starting tasks on a draining runner, which is about to leave.
 TEST(Runners, StartsNothingOnADrainingRunner)
 {
   DispatchWorld world;
@@ -120,11 +122,10 @@
   LONGS_EQUAL(0, world.mStarts);
 }
 
-// Guards against a runner that stays on probation for good because the one task
-// that it was given lasts and so never ends: lasting tasks found no other room
-// (prensa-comun mix 675805236702, where workers had failed their tasks for 6
-// s).
-TEST(Runners, ALastingTaskAtWorkEndsAProbation)
+// Guards against a probation that never ends because the one task that the
+// runner was given is long-running and never ends as done. After workers had
+// failed their tasks for 6 s, other long-running tasks found no runner.
+TEST(Runners, AWorkingLongRunningTaskEndsAProbation)
 {
   DispatchWorld world;
   world.ListRunners(1);
@@ -139,9 +140,9 @@
   CHECK_TRUE(world.IsRunning("next.0.0.0"));
 }
 
-// Guards against one bad second that sets a runner apart for 24 s because ten
-// tasks failed in it: each counted as a failed probation, and lasting tasks
-// found no other room (thenpetti mix 370822737977).
+// Guards against a quarantine of 24 s after ten tasks of a runner have failed
+// within one second: if each failure counts as a failed probation, the
+// quarantine doubles each time, and long-running tasks find no runner.
 TEST(Runners, FailuresInAQuarantineDoNotProlongIt)
 {
   DispatchWorld world;
@@ -160,9 +161,10 @@
              world.mNow + world.mCore.mSettings.mFirstQuarantine);
 }
 
-// Guards against trusting a runner because of a task that it began before its
-// failures: bad workers fail what they start, and run on what they run.
-TEST(Runners, AnEarlierTaskEndsNoProbation)
+// Guards against ending a probation because of a task that started before the
+// failures: a faulty runner fails the tasks that it starts, but those that run
+// already go on.
+TEST(Runners, ATaskFromBeforeTheFailuresEndsNoProbation)
 {
   DispatchWorld world;
   world.ListRunners(1);
@@ -180,10 +182,10 @@
   CHECK_TRUE(world.mCore.mRunners[0].mOnProbation);
 }
 
-// Guards against a probation that never begins because the runner still has
-// tasks from before its failures (both mix days above: three runners stayed
-// unused).
-TEST(Runners, EarlierTasksDoNotHinderAProbation)
+// Guards against a runner that gets no task for its probation because it still
+// has tasks from before its failures. Three runners stayed unused for that
+// reason.
+TEST(Runners, TasksFromBeforeTheFailuresDoNotBlockAProbation)
 {
   DispatchWorld world;
   world.ListRunners(1);
@@ -194,7 +196,7 @@
   world.AddJob(MakeJob("first", { FiniteStep(1, 1000) }));
   world.AddJob(MakeJob("second", { FiniteStep(1, 1000) }));
   world.AdvanceTime(Seconds(4));
-  // One of them is the trial, and the other waits for its end.
+  // One task decides about the probation, and the other waits for its end.
   CHECK_TRUE(world.IsRunning("first.0.0.0"));
   CHECK_FALSE(world.IsRunning("second.0.0.0"));
   world.End("first.0.0.0", EndKind::Done);
--- a/Tests/LibDispatch/TestTakeover.cpp
+++ b/Tests/LibDispatch/TestTakeover.cpp
@@ -10,10 +10,10 @@
 
 TEST_GROUP(Takeover){};
 
-// Guards against failures that are counted only for the highest run when a new
-// owner reads the ends of several runners in any order: the task was then
-// started more often than its queue allows.
-TEST(Takeover, CountsFailedRunsListedInAnyOrder)
+// Guards against counting only the failure of the latest run when a new owner
+// reads the ends on several runners in any order: the task would be started
+// more often than its queue allows.
+TEST(Takeover, CountsFailedRunsReportedInAnyOrder)
 {
   DispatchWorld world;
   world.ListRunners(8);
@@ -23,7 +23,7 @@
     world.Report();
     world.Tick();
   }
-  // The fourth run fails, and nothing was stored before the owner is lost.
+  // The fourth run fails, and the owner is lost before it stores any end.
   world.End("job.0.0.0", EndKind::Failed);
   world.TakeOver(2);
   std::reverse(world.mCore.mRunners.begin(), world.mCore.mRunners.end());
@@ -35,8 +35,8 @@
   CHECK_TRUE(world.mEndedJobs["job"] == JobPhase::Failed);
 }
 
-// Guards against counting a failure twice when its end was stored but not yet
-// acknowledged, which would show a job as failed without cause.
+// Guards against counting a failure twice if its end was stored but not yet
+// acknowledged: the job would be shown as failed without cause.
 TEST(Takeover, CountsAStoredFailureOnce)
 {
   DispatchWorld world;
@@ -54,9 +54,9 @@
   CHECK_TRUE(world.mEndedJobs.empty());
 }
 
-// Guards against running a task again after its end was listed as done to an
-// owner that was lost before it stored that.
-TEST(Takeover, KeepsADoneTaskWhoseEndIsListedAgain)
+// Guards against running a task again that is done, if the owner to which its
+// end was reported was lost before it stored the end.
+TEST(Takeover, KeepsADoneTaskWhoseEndIsReportedAgain)
 {
   DispatchWorld world;
   world.ListRunners(4);
@@ -72,8 +72,8 @@
   CHECK_TRUE(world.mEndedJobs["job"] == JobPhase::Completed);
 }
 
-// Guards against starting a second copy while a runner that the new owner can't
-// reach may still run the first.
+// Guards against starting a task again while a runner that the new owner can't
+// reach may still run it.
 TEST(Takeover, WaitsForARunnerThatDoesNotAnswer)
 {
   DispatchWorld world;
@@ -88,7 +88,8 @@
 }
 
 // Guards against a shard that starts nothing for 16 s because one runner was
-// silent before the takeover: its record names all that it may run.
+// silent before the takeover, although a record holds all runs that it may
+// have.
 TEST(Takeover, WaitsOnlyForTheRecordedRunsOfASilentRunner)
 {
   DispatchWorld world;
@@ -105,17 +106,18 @@
   world.AdvanceTime(Millis(500));
   CHECK_TRUE(world.IsRunning("other.0.0.0"));
   LONGS_EQUAL(2, world.mStarts);
-  // One lease later it can't run there any more; the former owner's right to
-  // act does not matter (thenpetti mix 839105945619 broke LOST by waiting).
+  // After one lease, the recorded run can't run there any more and is started
+  // elsewhere. The new owner must not wait longer, until the earlier owner has
+  // lost the right to act: lost runs would be restarted too late.
   world.AdvanceTime(Millis(5400));
   LONGS_EQUAL(2, world.mStarts);
   world.AdvanceTime(Millis(800));
   LONGS_EQUAL(3, world.mStarts);
 }
 
-// Guards against a stale record: the task that it names has run elsewhere since
-// and is done, but its end was ignored, and the task ran again.
-TEST(Takeover, PrefersALaterRunToAStaleRecord)
+// Guards against a stale record. The task in it has since run on another runner
+// and is done; if its end is ignored, the task runs again.
+TEST(Takeover, AcceptsTheEndOfALaterRunThanInAStaleRecord)
 {
   DispatchWorld world;
   world.ListRunners(4);
@@ -126,7 +128,8 @@
   world.mRecords[silent] =
     PossibleRuns(world.mCore, world.mCore.mRunnerById.at(silent));
   LONGS_EQUAL(2, world.mRecords[silent].size());
-  // The runner's lease ends, and its tasks run elsewhere; one is done.
+  // The leases of the runner end, and its tasks run on other runners. One of
+  // them is done.
   world.mRunners[silent].mRunning.clear();
   world.AdvanceTime(Seconds(7));
   LONGS_EQUAL(4, world.mStarts);
@@ -137,10 +140,10 @@
   LONGS_EQUAL(1, world.RunningTasks());
 }
 
-// Guards against giving up what a runner lists because this owner has granted
-// it no lease yet: the former owner's leases go on (thenpetti-grown trouble-1,
-// where the first renewal came a quarter of a second after the first report).
-TEST(Takeover, FormerLeasesCountAfterTheFirstReport)
+// Guards against ending the runs that a runner reports because this owner has
+// granted it no lease yet: the leases of the earlier owner still hold. The
+// first renewal may come a quarter of a second after the first report.
+TEST(Takeover, RespectsLeasesOfTheEarlierOwnerAfterTheFirstReport)
 {
   DispatchWorld world;
   world.ListRunners(2);
--- a/Tests/LibDispatch/TestUtilizationFilter.cpp
+++ b/Tests/LibDispatch/TestUtilizationFilter.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-/// Variance of an observed utilization.
+/// Variance of the error of an observed utilization.
 constexpr double kMeasurementVariance = 0.025 * 0.025;
 constexpr Millis kInterval{ 200 };
 
-/// Load of users that swings by half around 0.42 within ten seconds.
+/// @return a utilization that oscillates around 0.42 by half of it within ten
+///         seconds
 double
 UtilizationAt(MonotonicTime aTime)
 {
@@ -30,6 +31,8 @@
   UtilizationFilter mFilter;
   MonotonicTime mNow{ Seconds(100) };
 
+  /// Lets time pass and updates the filter with an observation at each
+  /// interval.
   void Observe(Millis aTime)
   {
     for (Millis passed(0); passed < aTime; passed += kInterval) {
@@ -43,9 +46,9 @@
   }
 };
 
-// Guards against a mean in place of the present load: the difference would be
-// blamed on neighbours.
-TEST(UtilizationFilter, FollowsASwingingLoad)
+// Guards against estimating the mean instead of the present load: the
+// difference would be attributed to interference.
+TEST(UtilizationFilter, TracksAnOscillatingLoad)
 {
   Observe(Seconds(3));
   for (int i = 0; i < 50; ++i) {
@@ -54,17 +57,19 @@
   }
 }
 
-// Guards against acting only once the load has risen: figures are late.
-TEST(UtilizationFilter, LooksAhead)
+// Guards against reacting only after the load has risen, because reports are
+// late.
+TEST(UtilizationFilter, ForecastsARisingLoad)
 {
-  Observe(Millis(10400)); // Just after the trough.
+  Observe(Millis(10400)); // The load has just begun to rise.
   const Millis ahead(700);
   DOUBLES_EQUAL(
     UtilizationAt(mNow + ahead), MaxUtilizationWithin(mFilter, ahead), 0.06);
 }
 
-// Guards against trusting an old trend, and an old level too much.
-TEST(UtilizationFilter, GrowsUncertainWithoutObservations)
+// Guards against extrapolating an old rate of change, and against too much
+// confidence in an old estimate.
+TEST(UtilizationFilter, IncreasesTheVarianceWithoutObservations)
 {
   Observe(Seconds(5));
   const UtilizationFilter later = Predicted(mFilter, mNow + Seconds(20));
