--- a/Libraries/LibDispatch/Interference.cpp
+++ b/Libraries/LibDispatch/Interference.cpp
@@ -18,9 +18,10 @@
 /// slowly, over far more than seconds; an estimate loses its weight within
 /// about five minutes.
 constexpr double kVarianceGrowthPerSecond = kPriorVariance / 300;
-/// The estimate of a pair counts as known below this variance. As soon as
-/// kMinObservedPairs estimates of an image are known, their mean is expected of
-/// its other pairs, with the variance kUnobservedVariance.
+/// The effect of a pair counts as known if its variance is below
+/// kObservedVariance. If an image has at least kMinObservedPairs known effects,
+/// their mean, with the variance kUnobservedVariance, is expected of the pairs
+/// that have not been observed.
 constexpr double kObservedVariance = 0.5 * 0.5;
 constexpr int kMinObservedPairs = 2;
 constexpr double kUnobservedVariance = 1.0 * 1.0;
@@ -30,9 +31,9 @@
 /// Standard deviation of the error of the interference model, as a share of the
 /// predicted rise.
 constexpr double kModelErrorShare = 0.25;
-/// Limit of the squared innovation divided by its variance. Beyond it, the
-/// cause lies outside of the model, such as a slow runner; the variance is
-/// raised, so that the observation has less weight.
+/// Limit of the squared innovation divided by its variance. A larger value has
+/// a cause outside of the model, such as a slow runner. The variance is then
+/// raised to give the observation less weight.
 constexpr double kMaxNormalizedInnovationSquared = 9;
 /// Shortest interval between two observations of a runner. A tail latency
 /// covers the last half second, so observations at this interval are nearly
@@ -43,9 +44,9 @@
 /// already busy.
 constexpr double kServiceTimeShare = 0.85;
 /// Share of the demanded CPU time below which the best-effort tasks of a runner
-/// count as starved. A task in its calm phase uses about two thirds of its
-/// demand on its own account.
-constexpr double kMinCpuUseShare = 0.55;
+/// count as starved. In its calm phase, a task uses only about two thirds of
+/// its demand even on an idle runner.
+constexpr double kStarvedCpuUseShare = 0.55;
 /// Smallest CPU use ratio that is derived from a report.
 constexpr double kMinCpuUseRatio = 0.3;
 /// Number of standard deviations that upper bounds of effects lie above the
@@ -309,9 +310,9 @@
 }
 
 double
-PressureFactor(double aActivity)
+PressureFactor(double aCpuUseRatio)
 {
-  return aActivity * aActivity * aActivity;
+  return aCpuUseRatio * aCpuUseRatio * aCpuUseRatio;
 }
 
 double
@@ -383,7 +384,7 @@
     demanded += static_cast<double>(SpecOf(ref).mDemand.mMilliCores);
     used += task.mReportedLoad;
   }
-  return used < demanded * kMinCpuUseShare;
+  return used < demanded * kStarvedCpuUseShare;
 }
 
 void
--- a/Libraries/LibDispatch/Internal.h
+++ b/Libraries/LibDispatch/Internal.h
@@ -153,6 +153,7 @@
 bool
 IsServing(const TaskRef& aTask);
 
+/// @return whether the task reserves no processors
 bool
 IsBestEffort(const TaskRef& aTask);
 
@@ -163,7 +164,7 @@
 /// @return the interference of a task with this CPU use ratio, relative to a
 ///         task with ratio 1. Interference falls much faster than CPU use.
 double
-PressureFactor(double aActivity);
+PressureFactor(double aCpuUseRatio);
 
 /// @return the pressure of a best-effort task: its share of the runner's
 ///         processors, scaled by its pace and its pressure factor. The rise of
--- a/Libraries/LibDispatch/Job.h
+++ b/Libraries/LibDispatch/Job.h
@@ -13,9 +13,11 @@
 
 namespace paddle::dispatch {
 
+/// Index of a runner in Dispatcher::mRunners.
 using RunnerIndex = std::uint32_t;
 inline constexpr RunnerIndex kNoRunner = UINT32_MAX;
 
+/// State of a task as this owner knows it.
 enum class TaskPhase : std::uint8_t
 {
   Waiting,  ///< No runner runs the task, or its step is not ready yet.
@@ -107,6 +109,7 @@
   MonotonicTime mSoftDeadline;
 };
 
+/// State of a job. All phases but Active are final.
 enum class JobPhase : std::uint8_t
 {
   Active,
--- a/Libraries/LibDispatch/Runner.h
+++ b/Libraries/LibDispatch/Runner.h
@@ -87,7 +87,7 @@
 };
 
 /// Load of the tasks of one serving step on a runner, which limits the
-/// best-effort tasks beside them. All members are utilizations from 0 to 1.
+/// best-effort tasks beside them. All numbers are utilizations from 0 to 1.
 struct ServingStepLoad
 {
   Step* mStep = nullptr;
@@ -113,10 +113,11 @@
 {
   TaskName mTask;
   std::int64_t mRun = 0;
-  std::string mCheckpoint;
-  MonotonicTime mStopSentAt;
+  std::string mCheckpoint;   ///< Latest checkpoint, or empty.
+  MonotonicTime mStopSentAt; ///< When a stop order was last sent.
 };
 
+/// Relation of a runner to the present owner of the shard.
 enum class RunnerPhase : std::uint8_t
 {
   AwaitingReport, ///< It has not answered this owner yet.
