--- a/Libraries/LibDispatch/Ticking.cpp
+++ b/Libraries/LibDispatch/Ticking.cpp
@@ -6,28 +6,28 @@
 
 namespace {
 
-/// Interval of the log lines that say why steps wait.
+/// Interval of the log events that say why steps wait.
 constexpr Seconds kExplainInterval{ 2 };
-/// Interval of placement passes that no event calls for.
+/// Longest interval between two placement passes over all runners.
 constexpr Millis kPlaceInterval{ 150 };
 
-/// Gives up the runs of runners that have been silent for longer than their
-/// leases.
+/// Ends the runs of runners that have been silent until all their leases have
+/// ended.
 void
-LapseSilentRunners(Dispatcher& aDispatcher,
-                   MonotonicTime aNow,
-                   Actions& aActions)
+ExpireSilentRunners(Dispatcher& aDispatcher,
+                    MonotonicTime aNow,
+                    Actions& aActions)
 {
   for (Runner& runner : aDispatcher.mRunners) {
     const bool silent =
       (runner.mPhase == RunnerPhase::Live && !runner.mTasks.empty() &&
-       runner.mLapsesAt <= aNow) ||
-      (runner.mPhase == RunnerPhase::Unheard && aNow > runner.mLapsesAt &&
-       aNow > aDispatcher.mUnheardUntil);
+       runner.mLeasesExpireAt <= aNow) ||
+      (runner.mPhase == RunnerPhase::AwaitingReport &&
+       aNow > runner.mLeasesExpireAt && aNow > aDispatcher.mEarlierLeasesUntil);
     if (!silent) {
       continue;
     }
-    runner.mPhase = RunnerPhase::Lapsed;
+    runner.mPhase = RunnerPhase::LeaseExpired;
     Emit(aDispatcher,
          "runner_lapsed",
          nullptr,
@@ -37,6 +37,7 @@
   }
 }
 
+/// Sends stop orders again that have had no effect yet.
 void
 RepeatStops(Dispatcher& aDispatcher, MonotonicTime aNow, Actions& aActions)
 {
@@ -44,7 +45,7 @@
     for (const TaskRef& ref : runner.mTasks) {
       Task& task = TaskOf(ref);
       if (task.mPhase == TaskPhase::Stopping &&
-          aNow - task.mStopSentAt >= aDispatcher.mSettings.mStopRepeat) {
+          aNow - task.mStopSentAt >= aDispatcher.mSettings.mStopRetryInterval) {
         task.mStopSentAt = aNow;
         aActions.push_back(StopTask{ task.mRunner, NameOf(ref), task.mRun });
       }
@@ -52,57 +53,60 @@
   }
 }
 
-/// Emits how full the shard is.
+/// Logs how much of the capacity of the shard is in use.
 void
-ReportRoom(const Dispatcher& aDispatcher, MonotonicTime aNow)
+EmitCapacity(const Dispatcher& aDispatcher, MonotonicTime aNow)
 {
-  const Room room = FreeRoom(aDispatcher, aNow);
-  std::int64_t leftover = 0;
+  const ShardCapacity capacity = AvailableCapacity(aDispatcher, aNow);
+  std::int64_t bestEffort = 0;
   std::size_t tasks = 0;
   for (const Runner& runner : aDispatcher.mRunners) {
-    leftover += runner.mLeftoverCores;
+    bestEffort += runner.mBestEffortMilliCores;
     tasks += runner.mTasks.size();
   }
   std::size_t waiting = 0;
-  for (const WaitingStep& entry : aDispatcher.mWaiting) {
-    waiting += StepOf(entry).mWaiting;
+  for (const WaitingStep& entry : aDispatcher.mWaitingSteps) {
+    waiting += StepOf(entry).mWaitingTasks;
   }
   Emit(aDispatcher,
        "room",
        nullptr,
-       "total=" + std::to_string(room.mTotalCores) +
-         " free=" + std::to_string(room.mFreeCores) + " unreserved=" +
-         std::to_string(leftover) + " tasks=" + std::to_string(tasks) +
+       "total=" + std::to_string(capacity.mTotalMilliCores) +
+         " free=" + std::to_string(capacity.mFreeMilliCores) + " unreserved=" +
+         std::to_string(bestEffort) + " tasks=" + std::to_string(tasks) +
          " waiting=" + std::to_string(waiting) +
          " jobs=" + std::to_string(aDispatcher.mJobs.size()));
 }
 
+/// Completes the recovery after a takeover as soon as every inherited runner
+/// has answered, or the leases of earlier owners have ended.
 void
 CheckRecovered(Dispatcher& aDispatcher, MonotonicTime aNow)
 {
   if (aDispatcher.mRecovered) {
     return;
   }
-  const auto unheard = std::count_if(
-    aDispatcher.mRunners.begin(),
-    aDispatcher.mRunners.end(),
-    [](const Runner& aRunner) {
-      return aRunner.mPhase == RunnerPhase::Unheard && aRunner.mFormer;
-    });
-  if (unheard > 0 && aNow < aDispatcher.mUnheardUntil) {
+  const auto awaitingReport =
+    std::count_if(aDispatcher.mRunners.begin(),
+                  aDispatcher.mRunners.end(),
+                  [](const Runner& aRunner) {
+                    return aRunner.mPhase == RunnerPhase::AwaitingReport &&
+                           aRunner.mInherited;
+                  });
+  if (awaitingReport > 0 && aNow < aDispatcher.mEarlierLeasesUntil) {
     return;
   }
   aDispatcher.mRecovered = true;
   aDispatcher.mPlacementDue = true;
   for (const auto& [id, job] : aDispatcher.mJobs) {
-    job->mFormer = false;
+    job->mInherited = false;
   }
   Emit(aDispatcher,
        "shard_recovered",
        nullptr,
        "epoch=" + std::to_string(aDispatcher.mEpoch) +
          " jobs=" + std::to_string(aDispatcher.mJobs.size()) +
-         " unheard=" + std::to_string(unheard));
+         " unheard=" + std::to_string(awaitingReport));
 }
 
 } // namespace
@@ -113,7 +117,7 @@
            std::int64_t aUnixMs,
            Actions& aActions)
 {
-  LapseSilentRunners(aDispatcher, aNow, aActions);
+  ExpireSilentRunners(aDispatcher, aNow, aActions);
   RepeatStops(aDispatcher, aNow, aActions);
   CheckRecovered(aDispatcher, aNow);
   for (const auto& [id, job] : aDispatcher.mJobs) {
@@ -122,7 +126,8 @@
     }
   }
   if (aNow - aDispatcher.mPlacedAt >= kPlaceInterval) {
-    // Pauses of runners end with time, which frees room.
+    // Runners become available again when their back-off ends, which no event
+    // shows.
     aDispatcher.mPlacedAt = aNow;
     aDispatcher.mPlacementDue = true;
   }
@@ -130,7 +135,7 @@
   if (aNow - aDispatcher.mExplainedAt >= kExplainInterval) {
     aDispatcher.mExplainedAt = aNow;
     ExplainWaiting(aDispatcher, aNow);
-    ReportRoom(aDispatcher, aNow);
+    EmitCapacity(aDispatcher, aNow);
   }
 }
 
--- a/Tests/LibDispatch/TestRunners.cpp
+++ b/Tests/LibDispatch/TestRunners.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-/// Lets four jobs fail one after the other, and cancels them.
+/// Lets the tasks of four jobs fail one after the other, and cancels the jobs.
 void
 FailFourJobs(DispatchWorld& aWorld)
 {
   for (int i = 0; i < 4; ++i) {
     const std::string job = "bad" + std::to_string(i);
     aWorld.AddJob(MakeJob(job, { FiniteStep(1, 1000) }));
-    aWorld.Pass(Millis(100));
+    aWorld.AdvanceTime(Millis(100));
     aWorld.End(job + ".0.0.0", EndKind::Failed);
-    aWorld.Pass(Millis(100));
+    aWorld.AdvanceTime(Millis(100));
     CancelJob(aWorld.mCore, job, aWorld.mNow, aWorld.mActions);
   }
 }
@@ -27,75 +27,77 @@
 
 TEST_GROUP(Runners){};
 
-// Guards against renewals that are sent in vain and extend the lease that the
-// runner may hold: its lasting tasks were never restarted elsewhere.
-TEST(Runners, GivesUpTheTasksOfASilentRunnerAfterOneLease)
+// Guards against renewals to a silent runner that each extend the lease it may
+// hold: its long-running tasks would never be restarted on another runner.
+TEST(Runners, RestartsTheTasksOfASilentRunnerAfterOneLease)
 {
   DispatchWorld world;
   world.ListRunners(4);
-  world.AddJob(MakeJob("job", { LastingStep(1, 1000) }));
+  world.AddJob(MakeJob("job", { LongRunningStep(1, 1000) }));
   const std::string first = world.RunnerOf("job.0.0.0");
-  world.Pass(Seconds(1));
+  world.AdvanceTime(Seconds(1));
   world.mRunners[first].mAnswers = false;
-  world.Pass(Millis(5900));
+  world.AdvanceTime(Millis(5900));
   LONGS_EQUAL(1, world.mStarts);
-  world.Pass(Millis(800));
+  world.AdvanceTime(Millis(800));
   LONGS_EQUAL(2, world.mStarts);
 }
 
-// Guards against a second run of a task whose start got no answer and is
-// carried out seconds later.
+// Guards against starting a second run of a task whose start order got no
+// answer but is carried out seconds later.
 TEST(Runners, StopsAnUnansweredRunBeforeTheNext)
 {
   DispatchWorld world;
   world.ListRunners(4);
-  world.mLoseStarts = true;
+  world.mDropStarts = true;
   world.AddJob(MakeJob("job", { FiniteStep(1, 1000) }));
-  world.mLoseStarts = false;
+  world.mDropStarts = false;
   LONGS_EQUAL(1, world.mStarts);
   LONGS_EQUAL(1, world.mLostStarts.size());
-  // The stop is answered; the next report shows that the run never began.
-  world.Pass(Millis(200));
+  // The stop order is answered, and the next report shows that the run never
+  // started.
+  world.AdvanceTime(Millis(200));
   LONGS_EQUAL(2, world.mStarts);
   LONGS_EQUAL(1, world.RunningTasks());
 }
 
-// Guards against a start for the former process of a runner that is carried
-// out by the new one, beside a run elsewhere.
+// Guards against a start order to the former process of a runner that the new
+// process carries out, while the task also runs on another runner.
 TEST(Runners, StopsUnansweredRunsAtARestartedRunner)
 {
   DispatchWorld world;
   world.ListRunners(2);
-  world.mLoseStarts = true;
+  world.mDropStarts = true;
   world.AddJob(MakeJob("job", { FiniteStep(1, 1000) }));
-  world.mLoseStarts = false;
+  world.mDropStarts = false;
   const StartTask lost = world.mLostStarts.at(0);
   const std::string id = world.mCore.mRunners[lost.mRunner].mSpec.mId;
   world.mRunners[id].mIncarnation = 2;
-  // The late start reaches the new process.
+  // The late start order reaches the new process.
   world.mRunners[id].mRunning.push_back({ "job.0.0.0", lost.mRun });
-  world.Pass(Millis(300));
+  world.AdvanceTime(Millis(300));
   LONGS_EQUAL(1, world.RunningTasks());
 }
 
-// Guards against placing over a runner's capacity while a stop is under way.
-TEST(Runners, KeepsTheRoomOfAStoppingTask)
+// Guards against exceeding the capacity of a runner because a task that is
+// being stopped no longer counts.
+TEST(Runners, CountsAStoppingTaskAsUsingItsResources)
 {
   DispatchWorld world;
   world.ListRunners(1);
   world.AddJob(MakeJob("a", { FiniteStep(1, 16000) }));
   world.mRunners["r0"].mAnswers = false;
   CancelJob(world.mCore, "a", world.mNow, world.mActions);
-  world.Perform();
+  world.PerformOrders();
   world.AddJob(MakeJob("b", { FiniteStep(1, 16000) }));
   LONGS_EQUAL(1, world.mStarts);
   world.mRunners["r0"].mAnswers = true;
-  world.Pass(Seconds(1));
+  world.AdvanceTime(Seconds(1));
   LONGS_EQUAL(2, world.mStarts);
 }
 
-// Guards against acknowledging an end before its commit: a later owner would
-// never learn of it.
+// Guards against acknowledging the end of a run before it is stored: a later
+// owner would never learn of it.
 TEST(Runners, AcknowledgesEndsAfterTheirCommit)
 {
   DispatchWorld world;
@@ -103,12 +105,12 @@
   world.AddJob(MakeJob("job", { FiniteStep(2, 1000) }));
   world.End("job.0.0.0", EndKind::Done);
   world.Report();
-  LONGS_EQUAL(0, PlanRenewal(world.mCore, 0, world.mNow).mAcknowledge);
+  LONGS_EQUAL(0, PlanRenewal(world.mCore, 0, world.mNow).mAcknowledgedEnd);
   world.Commit();
-  LONGS_EQUAL(1, PlanRenewal(world.mCore, 0, world.mNow).mAcknowledge);
+  LONGS_EQUAL(1, PlanRenewal(world.mCore, 0, world.mNow).mAcknowledgedEnd);
 }
 
-// Guards against new starts on a runner that is about to leave.
+// Guards against starting tasks on a draining runner, which is about to leave.
 TEST(Runners, StartsNothingOnADrainingRunner)
 {
   DispatchWorld world;
@@ -116,32 +118,31 @@
   world.mListed[0].mDraining = true;
   SetRunners(world.mCore, world.mListed, world.mNow, world.mActions);
   world.AddJob(MakeJob("job", { FiniteStep(1, 1000) }));
-  world.Pass(Seconds(1));
+  world.AdvanceTime(Seconds(1));
   LONGS_EQUAL(0, world.mStarts);
 }
 
-// Guards against a runner that stays on probation for good because the one task
-// that it was given lasts and so never ends: lasting tasks found no other room
-// (prensa-comun mix 675805236702, where workers had failed their tasks for 6
-// s).
-TEST(Runners, ALastingTaskAtWorkEndsAProbation)
+// Guards against a probation that never ends because the one task that the
+// runner was given is long-running and never ends as done. After workers had
+// failed their tasks for 6 s, other long-running tasks found no runner.
+TEST(Runners, AWorkingLongRunningTaskEndsAProbation)
 {
   DispatchWorld world;
   world.ListRunners(1);
   FailFourJobs(world);
   CHECK_TRUE(world.mCore.mRunners[0].mOnProbation);
-  world.mProgress = 100;
-  world.AddJob(MakeJob("lasting", { LastingStep(1, 1000) }));
-  world.Pass(Seconds(25));
-  CHECK_TRUE(world.Runs("lasting.0.0.0"));
-  world.AddJob(MakeJob("next", { LastingStep(1, 1000) }));
-  world.Pass(Seconds(1));
-  CHECK_TRUE(world.Runs("next.0.0.0"));
+  world.mProgressPercent = 100;
+  world.AddJob(MakeJob("lasting", { LongRunningStep(1, 1000) }));
+  world.AdvanceTime(Seconds(25));
+  CHECK_TRUE(world.IsRunning("lasting.0.0.0"));
+  world.AddJob(MakeJob("next", { LongRunningStep(1, 1000) }));
+  world.AdvanceTime(Seconds(1));
+  CHECK_TRUE(world.IsRunning("next.0.0.0"));
 }
 
-// Guards against one bad second that sets a runner apart for 24 s because ten
-// tasks failed in it: each counted as a failed probation, and lasting tasks
-// found no other room (thenpetti mix 370822737977).
+// Guards against a quarantine of 24 s after ten tasks of a runner have failed
+// within one second: if each failure counts as a failed probation, the
+// quarantine doubles each time, and long-running tasks find no runner.
 TEST(Runners, FailuresInAQuarantineDoNotProlongIt)
 {
   DispatchWorld world;
@@ -149,7 +150,7 @@
   for (int i = 0; i < 9; ++i) {
     world.AddJob(MakeJob("bad" + std::to_string(i), { FiniteStep(1, 1000) }));
   }
-  world.Pass(Millis(100));
+  world.AdvanceTime(Millis(100));
   for (int i = 0; i < 9; ++i) {
     world.End("bad" + std::to_string(i) + ".0.0.0", EndKind::Failed);
   }
@@ -157,47 +158,48 @@
   const Runner& runner = world.mCore.mRunners[0];
   CHECK_TRUE(runner.mOnProbation);
   CHECK_TRUE(runner.mAvoidUntil <=
-             world.mNow + world.mCore.mSettings.mQuarantine);
+             world.mNow + world.mCore.mSettings.mFirstQuarantine);
 }
 
-// Guards against trusting a runner because of a task that it began before its
-// failures: bad workers fail what they start, and run on what they run.
-TEST(Runners, AnEarlierTaskEndsNoProbation)
+// Guards against ending a probation because of a task that started before the
+// failures: a faulty runner fails the tasks that it starts, but those that run
+// already go on.
+TEST(Runners, ATaskFromBeforeTheFailuresEndsNoProbation)
 {
   DispatchWorld world;
   world.ListRunners(1);
-  world.mProgress = 100;
-  world.AddJob(MakeJob("lasting", { LastingStep(1, 1000) }));
-  world.Pass(Seconds(4));
+  world.mProgressPercent = 100;
+  world.AddJob(MakeJob("lasting", { LongRunningStep(1, 1000) }));
+  world.AdvanceTime(Seconds(4));
   for (int i = 0; i < 4; ++i) {
     const std::string job = "bad" + std::to_string(i);
     world.AddJob(MakeJob(job, { FiniteStep(1, 1000) }));
-    world.Pass(Millis(100));
+    world.AdvanceTime(Millis(100));
     world.End(job + ".0.0.0", EndKind::Failed);
-    world.Pass(Millis(100));
+    world.AdvanceTime(Millis(100));
   }
-  world.Pass(Millis(500));
+  world.AdvanceTime(Millis(500));
   CHECK_TRUE(world.mCore.mRunners[0].mOnProbation);
 }
 
-// Guards against a probation that never begins because the runner still has
-// tasks from before its failures (both mix days above: three runners stayed
-// unused).
-TEST(Runners, EarlierTasksDoNotHinderAProbation)
+// Guards against a runner that gets no task for its probation because it still
+// has tasks from before its failures. Three runners stayed unused for that
+// reason.
+TEST(Runners, TasksFromBeforeTheFailuresDoNotBlockAProbation)
 {
   DispatchWorld world;
   world.ListRunners(1);
-  world.AddJob(MakeJob("lasting", { LastingStep(1, 1000) }));
-  world.Pass(Millis(500));
+  world.AddJob(MakeJob("lasting", { LongRunningStep(1, 1000) }));
+  world.AdvanceTime(Millis(500));
   FailFourJobs(world);
   CHECK_TRUE(world.mCore.mRunners[0].mOnProbation);
   world.AddJob(MakeJob("first", { FiniteStep(1, 1000) }));
   world.AddJob(MakeJob("second", { FiniteStep(1, 1000) }));
-  world.Pass(Seconds(4));
-  // One of them is the trial, and the other waits for its end.
-  CHECK_TRUE(world.Runs("first.0.0.0"));
-  CHECK_FALSE(world.Runs("second.0.0.0"));
+  world.AdvanceTime(Seconds(4));
+  // One task decides about the probation, and the other waits for its end.
+  CHECK_TRUE(world.IsRunning("first.0.0.0"));
+  CHECK_FALSE(world.IsRunning("second.0.0.0"));
   world.End("first.0.0.0", EndKind::Done);
-  world.Pass(Millis(500));
-  CHECK_TRUE(world.Runs("second.0.0.0"));
+  world.AdvanceTime(Millis(500));
+  CHECK_TRUE(world.IsRunning("second.0.0.0"));
 }
