--- a/Libraries/LibNode/ClientFrontEnd.cpp
+++ b/Libraries/LibNode/ClientFrontEnd.cpp
@@ -49,15 +49,25 @@
     std::function<void(ClientAnswer)> mAnswer;
   };
 
+  /// @return the shard that is to run a job, or nothing if no shard is known
   std::optional<std::uint32_t> ChooseShard(const dispatch::JobSpec& aJob) const;
+  /// Sends the transaction that stores a job, unless the job's id is known
+  /// already.
   void SendSubmission(const std::shared_ptr<Submission>& aSubmission);
   void HandleSubmissionOutcome(const std::shared_ptr<Submission>& aSubmission,
                                const TransactionOutcome& aOutcome);
+  /// Reads the status of a job that is to be cancelled.
   void ReadForCancel(const std::shared_ptr<Cancellation>& aCancellation);
+  /// Stores a cancellation.
+  /// @param aStatus  the status of the job as read
+  /// @param aVersion the version of its row
   void WriteCancel(const std::shared_ptr<Cancellation>& aCancellation,
                    JobStatus aStatus,
                    std::int64_t aVersion);
+  /// Reads the status again after a delay, or answers Unavailable if the client
+  /// would wait too long.
   void RetryCancel(const std::shared_ptr<Cancellation>& aCancellation);
+  /// Keeps the status of an ended job, which can't change any more.
   void RememberEndedJob(const std::string& aJob, const JobStatus& aStatus);
   void Log(std::string_view aEvent, const std::string& aFields);
 
--- a/Services/Node/NodeProcess.cpp
+++ b/Services/Node/NodeProcess.cpp
@@ -47,7 +47,9 @@
   void ServeReadiness(const HttpIncoming& aRequest, const ReplyHandler& aReply);
   void WaitForTick();
   void WaitForSignal();
+  /// Reads the settings again on SIGHUP; drains the node on other signals.
   void HandleSignal(int aSignal);
+  /// Applies the limits on client requests after a change of the configuration.
   void UpdateLimits();
   /// @return whether a draining process may exit
   [[nodiscard]] bool MayExit(MonotonicTime aNow) const;
--- a/Tests/LibNode/TestCluster.cpp
+++ b/Tests/LibNode/TestCluster.cpp
@@ -72,6 +72,7 @@
     }
   }
 
+  /// @return the number of shards that a node would claim now
   std::size_t Claims(const NodeRow& aSelf) const
   {
     return DecideClaims(mView, aSelf, mSettings, mNow).size();
--- a/Tests/LibNode/TestNode.cpp
+++ b/Tests/LibNode/TestNode.cpp
@@ -18,6 +18,8 @@
 {
   ClusterSimulation mCluster;
 
+  /// Starts the node "a" and waits until it has created the layout and claimed
+  /// the only shard.
   void Begin()
   {
     mCluster.StartNode("a");
