--- a/Libraries/LibNode/JobRows.cpp
+++ b/Libraries/LibNode/JobRows.cpp
@@ -13,8 +13,9 @@
 using dispatch::JobPhase;
 using dispatch::StepSpec;
 
-/// Members with their default value are left out: rows are read and written
-/// often, and bytes to and from the store are paid for.
+// The Put functions leave out members that have their default value: rows are
+// read and written often, and traffic to and from the store costs money.
+
 void
 PutNumber(Json::Value& aObject, const char* aName, std::int64_t aValue)
 {
@@ -115,8 +116,9 @@
   return "active";
 }
 
+/// @return the phase of that name; Active for an unknown name
 JobPhase
-PhaseNamed(std::string_view aName)
+PhaseFromName(std::string_view aName)
 {
   for (const JobPhase phase :
        { JobPhase::Cancelled, JobPhase::Failed, JobPhase::Completed }) {
@@ -189,7 +191,7 @@
   }
   return JobStatus{ (*value)["shard"].asUInt(),
                     (*value)["queue"].asString(),
-                    PhaseNamed((*value)["phase"].asString()),
+                    PhaseFromName((*value)["phase"].asString()),
                     (*value)["began"].asBool() };
 }
 
@@ -233,7 +235,7 @@
     return {};
   }
   dispatch::JobProgress progress;
-  progress.mPhase = PhaseNamed((*value)["phase"].asString());
+  progress.mPhase = PhaseFromName((*value)["phase"].asString());
   progress.mBegan = (*value)["began"].asBool();
   progress.mOccurrencesBegun = (*value)["occurrences_begun"].asUInt();
   progress.mOccurrencesDone = (*value)["occurrences_done"].asUInt();
--- a/Tests/Platform/TestDirectory.cpp
+++ b/Tests/Platform/TestDirectory.cpp
@@ -95,7 +95,7 @@
     platform::MakeDirectoryPort(counted, [](const std::string&) {});
   std::optional<OperatorState> state;
   const auto read = [&] {
-    directory.mReadOperator(
+    directory.mReadOperatorState(
       [&](std::optional<OperatorState> aState) { state = std::move(aState); });
     store.Run();
   };
@@ -107,7 +107,7 @@
   LONGS_EQUAL(1, state->mEvacuatedDataCentres.size());
   LONGS_EQUAL(1, reads);
   // A store without the history is read in full once more.
-  store.mForget = true;
+  store.mHistoryGone = true;
   read();
   CHECK_FALSE(state.has_value());
   read();
