--- a/Libraries/LibKernel/Registry.h
+++ b/Libraries/LibKernel/Registry.h
@@ -9,9 +9,9 @@
 
 namespace paddle {
 
-/// Names the plug-ins of one kind. A plug-in is a plain struct of functions;
-/// it registers itself through a Registration object at namespace scope, so
-/// that adding one changes no other file.
+/// The plug-ins of one kind by their names. A plug-in is a plain struct of
+/// functions. It registers itself through a Registration object at namespace
+/// scope, so that a new plug-in requires no change of another file.
 template<typename Plugin>
 class Registry
 {
@@ -23,12 +23,13 @@
     return sRegistry;
   }
 
+  /// Registers a plug-in; replaces an earlier one of the same name.
   void Add(std::string aName, Plugin aPlugin)
   {
     mPlugins.insert_or_assign(std::move(aName), std::move(aPlugin));
   }
 
-  /// @return the plug-in, or an error that lists the registered names
+  /// @return the plug-in, or an error that lists the names of all plug-ins
   [[nodiscard]] Outcome<Plugin> Find(std::string_view aName) const
   {
     const auto found = mPlugins.find(aName);
@@ -48,8 +49,8 @@
 };
 
 /// Registers a plug-in during static initialisation.
-/// NOTE: An object file that nothing refers to is dropped from a static
-/// library by the linker, so plug-ins are built as CMake OBJECT libraries.
+/// NOTE: The linker leaves out the object files of a static library that
+/// nothing refers to, so plug-ins are built as CMake OBJECT libraries.
 template<typename Plugin>
 struct Registration
 {
--- a/Libraries/LibTime/BootClock.h
+++ b/Libraries/LibTime/BootClock.h
@@ -7,9 +7,9 @@
 
 namespace paddle {
 
-/// @return the time since the host started, including time that it was
-///         suspended: leases go on while a host sleeps, and CLOCK_MONOTONIC,
-///         which std::chrono::steady_clock reads, does not count that time
+/// @return the time since the host booted, including the time that it was
+///         suspended: a lease also expires while its host is suspended, but
+///         CLOCK_MONOTONIC, which std::chrono::steady_clock reads, stands still
 inline MonotonicTime
 BootTime()
 {
@@ -19,7 +19,9 @@
                        std::chrono::nanoseconds(now.tv_nsec));
 }
 
-/// @return Unix time in milliseconds, for due times and records only
+/// @return Unix time in milliseconds. It is only for due times and records,
+///         because the clock may be set forwards or backwards; time-outs and
+///         leases must use a MonotonicTime.
 inline std::int64_t
 UnixMs()
 {
--- a/Libraries/LibTime/Outcome.h
+++ b/Libraries/LibTime/Outcome.h
@@ -6,25 +6,25 @@
 
 namespace paddle {
 
-/// Broad class of an error; decides what a caller may do about it.
+/// Class of an error, by which a caller decides how to handle it.
 enum class ErrorKind
 {
-  InvalidInput, ///< The input is wrong; repeating it can't succeed.
-  NotFound,     ///< The named thing does not exist.
-  Conflict,     ///< Somebody else changed the state first.
-  Unavailable,  ///< A service can't be reached or refused for now.
-  Unknown,      ///< The effect of the operation is not known.
-  Internal      ///< A fault of this program or of a peer's answer.
+  InvalidInput, ///< The input is invalid; repeating the call can't succeed.
+  NotFound,     ///< The object that the call names does not exist.
+  Conflict,     ///< Another writer changed the state first.
+  Unavailable,  ///< A service can't be reached or refuses calls for now.
+  Unknown,      ///< The operation may or may not have taken effect.
+  Internal      ///< This program has a fault, or a peer's answer is invalid.
 };
 
-/// An error as a value, with a message that a person can act on.
+/// An error as a value.
 struct Error
 {
   ErrorKind mKind = ErrorKind::Internal;
-  std::string mMessage;
+  std::string mMessage; ///< Says what is wrong and, if possible, what to do.
 };
 
-/// Stands for success without a value.
+/// The value of an Outcome that has none besides its success.
 struct Done
 {
   bool operator==(const Done&) const = default;
@@ -50,6 +50,7 @@
   return std::get<0>(aOutcome);
 }
 
+/// @return the value of @p aOutcome, which must hold one
 template<typename T, typename E>
 [[nodiscard]] const T&
 ValueOf(const std::variant<T, E>& aOutcome)
--- a/Libraries/LibTime/Time.h
+++ b/Libraries/LibTime/Time.h
@@ -8,8 +8,9 @@
 using Millis = std::chrono::milliseconds;
 using Seconds = std::chrono::seconds;
 
-/// A point on the monotonic clock of one process. Values of different
-/// processes must never be compared.
+/// A point in time on a monotonic clock of one process, read either by
+/// BootTime() or by std::chrono::steady_clock. Values of the two clocks and
+/// values of different processes must never be compared with each other.
 using MonotonicTime = std::chrono::steady_clock::time_point;
 
 } // namespace paddle
