--- a/Libraries/LibBase/EventLog.cpp
+++ b/Libraries/LibBase/EventLog.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-/// Interval of the line that counts dropped lines.
-constexpr Seconds kDropReport{ 1 };
+/// Shortest time between two reports of dropped lines.
+constexpr Seconds kDropReportInterval{ 1 };
 
+/// @return the name of the level as it appears in a line
 std::string_view
 NameOf(LogLevel aLevel)
 {
@@ -36,7 +37,7 @@
 EventLog::EventLog(std::string aProcess, const EventLogLimits& aLimits)
   : mProcess(std::move(aProcess))
   , mLimits(aLimits)
-  , mTokens(aLimits.mBurst)
+  , mTokens(aLimits.mBurstLines)
 {
   const int flags = fcntl(STDOUT_FILENO, F_GETFL);
   if (flags >= 0) {
@@ -50,8 +51,9 @@
   const double elapsed =
     std::chrono::duration<double>(aNow - mRefilledAt).count();
   mRefilledAt = aNow;
-  mTokens = std::min(
-    mLimits.mBurst, mTokens + std::max(0.0, elapsed) * mLimits.mLinesPerSecond);
+  mTokens =
+    std::min(mLimits.mBurstLines,
+             mTokens + std::max(0.0, elapsed) * mLimits.mLinesPerSecond);
   if (mTokens < 1) {
     return false;
   }
@@ -65,8 +67,10 @@
                 std::string_view aFields,
                 MonotonicTime aNow)
 {
-  const bool bounded = aLevel == LogLevel::Debug || aLevel == LogLevel::Info;
-  if ((bounded && !TakeToken(aNow)) ||
+  // 160 bytes are reserved for the time, the level and the names in a line.
+  const bool rateLimited =
+    aLevel == LogLevel::Debug || aLevel == LogLevel::Info;
+  if ((rateLimited && !TakeToken(aNow)) ||
       mBuffer.size() + aFields.size() + 160 > mLimits.mBufferBytes) {
     ++mDropped;
     ++mDroppedByEvent[std::string(aEvent)];
@@ -90,7 +94,7 @@
 void
 EventLog::Flush(MonotonicTime aNow)
 {
-  if (!mDroppedByEvent.empty() && aNow - mReportedAt >= kDropReport) {
+  if (!mDroppedByEvent.empty() && aNow - mReportedAt >= kDropReportInterval) {
     mReportedAt = aNow;
     std::string fields;
     for (const auto& [event, count] : mDroppedByEvent) {
--- a/Libraries/LibBase/EventLog.h
+++ b/Libraries/LibBase/EventLog.h
@@ -12,48 +12,58 @@
 
 namespace paddle {
 
-/// Bounds of an event log.
+/// Limits on the output of an event log.
 struct EventLogLimits
 {
-  /// Lines of decisions a second; a busy host decides some hundred times a
-  /// second, and a line costs some 3 us.
+  /// Rate limit for lines of level Debug and Info. A busy host makes some
+  /// hundred decisions a second and logs each of them; a line costs some 3 us.
   double mLinesPerSecond = 300;
-  double mBurst = 600;
-  /// Lines that wait while the reader of standard output does not read.
+  /// Lines that may be written at once after a quiet period.
+  double mBurstLines = 600;
+  /// Largest amount of text that is kept while the reader of standard output
+  /// does not read.
   std::size_t mBufferBytes = 256UL * 1024;
 };
 
-/// Writes key=value lines to standard output without ever blocking: lines are
-/// collected, written by Flush(), and counted by event where they are dropped.
+/// Writes key=value lines to standard output without ever blocking. Lines are
+/// collected in a buffer, which Flush() writes. Lines beyond the limits are
+/// dropped; a line of the log states how many were dropped of each event.
 class EventLog
 {
 public:
-  /// @param aProcess part of every line
+  /// Makes standard output non-blocking.
+  /// @param aProcess name of the process, part of every line
   EventLog(std::string aProcess, const EventLogLimits& aLimits);
 
-  /// Lines of level Debug and Info are subject to the budget; notices, warnings
-  /// and errors only to the size of the buffer.
+  /// Adds a line to the buffer or drops it. The rate limit applies to lines of
+  /// level Debug and Info only, the size of the buffer to all lines.
+  /// @param aEvent  name of the event in snake_case
+  /// @param aFields key=value pairs, separated by spaces; may be empty
   void Write(LogLevel aLevel,
              std::string_view aEvent,
              std::string_view aFields,
              MonotonicTime aNow);
 
-  /// Writes what standard output takes now.
+  /// Writes as much of the buffer as standard output accepts now.
   void Flush(MonotonicTime aNow);
 
+  /// @return number of lines dropped since the start
   [[nodiscard]] std::uint64_t Dropped() const;
 
 private:
+  /// Takes a token from the token bucket of the rate limit.
+  /// @return whether there was one
   bool TakeToken(MonotonicTime aNow);
 
   std::string mProcess;
   EventLogLimits mLimits;
   std::string mBuffer;
-  double mTokens = 0;
-  MonotonicTime mRefilledAt;
-  MonotonicTime mReportedAt;
+  double mTokens = 0;        ///< Lines that the rate limit allows now.
+  MonotonicTime mRefilledAt; ///< When mTokens was last updated.
+  MonotonicTime mReportedAt; ///< When dropped lines were last reported.
+  /// Lines dropped since the last report, by event.
   std::map<std::string, std::uint64_t, std::less<>> mDroppedByEvent;
-  std::uint64_t mDropped = 0;
+  std::uint64_t mDropped = 0; ///< Lines dropped since the start.
 };
 
 } // namespace paddle
--- a/Libraries/LibBase/JsonReader.cpp
+++ b/Libraries/LibBase/JsonReader.cpp
@@ -13,6 +13,8 @@
 
 namespace {
 
+/// @param aOffset offset in bytes from the start of the text
+/// @return the position in the form file:line:column
 std::string
 Position(const JsonText& aText, std::ptrdiff_t aOffset)
 {
@@ -32,13 +34,14 @@
          std::to_string(column);
 }
 
+/// @return the value as JSON for an error message, shortened if it is long
 std::string
-Shown(const Json::Value& aValue)
+FormatForError(const Json::Value& aValue)
 {
-  constexpr std::size_t kLongestShown = 60;
+  constexpr std::size_t kMaxShownBytes = 60;
   std::string text = WriteJson(aValue);
-  if (text.size() > kLongestShown) {
-    text.resize(kLongestShown);
+  if (text.size() > kMaxShownBytes) {
+    text.resize(kMaxShownBytes);
     text += "...";
   }
   return text;
@@ -51,8 +54,9 @@
   return sNull;
 }
 
-/// Rewrites the messages of jsoncpp, "* Line 2, Column 3\n  Text\n" each, to
-/// one line per problem with the file, like all other errors.
+/// Converts the messages of jsoncpp, each of the form
+/// "* Line 2, Column 3\n  Text\n", to the form of all other errors: one line
+/// for each problem, with the file and position in front.
 std::string
 SyntaxErrors(const std::string& aFile, const std::string& aMessages)
 {
@@ -96,7 +100,7 @@
                     SyntaxErrors(parsed.mFile, errors) };
     }
   } catch (const std::exception& e) {
-    // jsoncpp throws on nesting beyond its stack limit.
+    // jsoncpp throws if values are nested deeper than its stack limit.
     return Error{ ErrorKind::InvalidInput,
                   parsed.mFile + ": " + std::string(e.what()) };
   }
@@ -180,7 +184,7 @@
   if (!value->isString() || value->asString().empty()) {
     FailAt(*value,
            PathOf(aField),
-           "must be a non-empty string, is " + Shown(*value));
+           "must be a non-empty string, is " + FormatForError(*value));
     return aDefault;
   }
   return value->asString();
@@ -202,7 +206,7 @@
     FailAt(*value,
            PathOf(aField),
            "must be an integer from " + std::to_string(aLowest) + " to " +
-             std::to_string(aHighest) + ", is " + Shown(*value));
+             std::to_string(aHighest) + ", is " + FormatForError(*value));
     return aDefault;
   }
   return value->asInt64();
@@ -224,7 +228,7 @@
     std::ostringstream range;
     range.precision(15);
     range << "must be a number from " << aLowest << " to " << aHighest
-          << ", is " << Shown(*value);
+          << ", is " << FormatForError(*value);
     FailAt(*value, PathOf(aField), range.str());
     return aDefault;
   }
@@ -239,8 +243,9 @@
     return aDefault;
   }
   if (!value->isBool()) {
-    FailAt(
-      *value, PathOf(aField), "must be true or false, is " + Shown(*value));
+    FailAt(*value,
+           PathOf(aField),
+           "must be true or false, is " + FormatForError(*value));
     return aDefault;
   }
   return value->asBool();
@@ -267,7 +272,7 @@
   for (const std::string& choice : aAllowed) {
     message += " \"" + choice + "\"";
   }
-  FailAt(*value, PathOf(aField), message + ", is " + Shown(*value));
+  FailAt(*value, PathOf(aField), message + ", is " + FormatForError(*value));
   return aDefault;
 }
 
@@ -283,7 +288,7 @@
     }
     FailAt(values[i],
            PathOf(aField) + "[" + std::to_string(i) + "]",
-           "must be a non-empty string, is " + Shown(values[i]));
+           "must be a non-empty string, is " + FormatForError(values[i]));
   }
   return list;
 }
@@ -296,7 +301,9 @@
     return NullValue();
   }
   if (!value->isObject()) {
-    FailAt(*value, PathOf(aField), "must be an object, is " + Shown(*value));
+    FailAt(*value,
+           PathOf(aField),
+           "must be an object, is " + FormatForError(*value));
     return NullValue();
   }
   return *value;
@@ -310,7 +317,8 @@
     return NullValue();
   }
   if (!value->isArray()) {
-    FailAt(*value, PathOf(aField), "must be an array, is " + Shown(*value));
+    FailAt(
+      *value, PathOf(aField), "must be an array, is " + FormatForError(*value));
     return NullValue();
   }
   return *value;
@@ -350,7 +358,8 @@
 std::string
 WriteJson(const Json::Value& aValue)
 {
-  // A builder takes longer to make than most values to write.
+  // The builder is kept because making it takes longer than writing most
+  // values.
   static const Json::StreamWriterBuilder sBuilder = [] {
     Json::StreamWriterBuilder builder;
     builder["indentation"] = "";
--- a/Libraries/LibBase/Log.cpp
+++ b/Libraries/LibBase/Log.cpp
@@ -12,6 +12,7 @@
 
 namespace {
 
+/// @return the level of log4cplus, which has none for notices
 log4cplus::LogLevel
 ToLibraryLevel(LogLevel aLevel)
 {
@@ -38,6 +39,8 @@
   return sLogger;
 }
 
+/// @return whether the value must be quoted so that a line can be split into
+///         its key=value pairs
 bool
 NeedsQuotes(std::string_view aValue)
 {
@@ -53,6 +56,7 @@
   return false;
 }
 
+/// Appends the value, quoted and escaped if necessary.
 void
 AppendValue(std::string& aLine, std::string_view aValue)
 {
@@ -97,7 +101,8 @@
 StartLogging(std::string_view aProcess, LogLevel aLevel)
 {
   log4cplus::Logger& logger = ProcessLogger();
-  // Standard error, because a program's results go to standard output.
+  // The log goes to standard error because a program's results go to standard
+  // output. The second argument flushes each line.
   log4cplus::SharedAppenderPtr appender(
     new log4cplus::ConsoleAppender(true, true));
   const std::string pattern =
--- a/Libraries/LibBase/Log.h
+++ b/Libraries/LibBase/Log.h
@@ -11,7 +11,7 @@
 {
   Debug,
   Info,
-  Notice, ///< A rare change of state, which no budget of lines leaves out.
+  Notice, ///< A rare change of state, to which no rate limit applies.
   Warning,
   Error
 };
@@ -51,8 +51,8 @@
 void
 StartLogging(std::string_view aProcess, LogLevel aLevel);
 
-/// Writes one line of key=value pairs.
-/// @param aEvent name of the event in snake_case
+/// Writes one line of key=value pairs if its level is enabled.
+/// @param aEvent  name of the event in snake_case
 void
 LogEvent(LogLevel aLevel,
          std::string_view aEvent,
--- a/Libraries/LibBase/Metrics.cpp
+++ b/Libraries/LibBase/Metrics.cpp
@@ -15,8 +15,12 @@
   decltype(boost::histogram::make_histogram(std::declval<LogAxis>()));
 
 constexpr double kLowestMicros = 1;
-constexpr double kHighestMicros = 6e8; // Ten minutes, the longest watch.
-constexpr unsigned kBuckets = 415;     // Each 5% wider than the one before.
+/// Ten minutes: the longest time that a request which watches for changes is
+/// held.
+constexpr double kHighestMicros = 6e8;
+/// Number of buckets between these bounds. Each bucket is 5% wider than the one
+/// before.
+constexpr unsigned kBuckets = 415;
 
 Histogram
 MakeLatencyHistogram()
@@ -25,6 +29,7 @@
     LogAxis(kBuckets, kLowestMicros, kHighestMicros));
 }
 
+/// @return number of recorded latencies, also of those outside the bounds
 double
 CountOf(const Histogram& aHistogram)
 {
@@ -36,6 +41,8 @@
   return total;
 }
 
+/// @return the upper edge of the bucket that contains the quantile, at most
+///         kHighestMicros
 Micros
 QuantileOf(const Histogram& aHistogram, double aQuantile)
 {
--- a/Libraries/LibBase/Ring.h
+++ b/Libraries/LibBase/Ring.h
@@ -11,7 +11,7 @@
 
 namespace paddle {
 
-/// Whether an element entered a ring.
+/// Whether a ring accepted an element.
 enum class PushResult
 {
   Accepted,
@@ -19,8 +19,9 @@
   Closed
 };
 
-/// A bounded queue between threads. A full ring refuses new elements instead
-/// of blocking the producer, so that overload becomes an answer.
+/// A bounded first-in, first-out queue between threads, kept in a ring buffer.
+/// A full ring refuses new elements instead of blocking the producer, so that
+/// the producer can reject the work and tell its caller about the overload.
 template<typename T>
 class Ring
 {
@@ -48,7 +49,8 @@
   }
 
   /// Removes the oldest element, waiting at most @p aTimeout.
-  /// @return the element, or nothing on time-out or when closed and empty
+  /// @return the element, or nothing if the time-out passed or the ring is
+  ///         closed and empty
   [[nodiscard]] std::optional<T> Pop(Micros aTimeout)
   {
     std::unique_lock lock(mMutex);
@@ -62,7 +64,8 @@
     return item;
   }
 
-  /// Refuses all further elements; those inside can still be removed.
+  /// Makes the ring refuse all further elements; the elements that it contains
+  /// can still be removed.
   void Close()
   {
     {
--- a/Tests/LibBase/TestEventLog.cpp
+++ b/Tests/LibBase/TestEventLog.cpp
@@ -6,9 +6,10 @@
 
 TEST_GROUP(EventLog){};
 
-// Guards against a busy second that hides who owned a shard: the line that a
-// takeover had ended was left out beside hundreds of lines about jobs.
-TEST(EventLog, LeavesOutDecisionsBeforeChangesOfState)
+// Guards against a rate limit that drops rare changes of state: hundreds of
+// lines about jobs used up the budget of a second, so the line about the end of
+// a takeover was dropped and the log did not show who owned the shard.
+TEST(EventLog, RateLimitDoesNotApplyToNotices)
 {
   const EventLogLimits none{ 0, 0, 4096 };
   EventLog log("test", none);
@@ -19,8 +20,9 @@
   LONGS_EQUAL(1, log.Dropped());
 }
 
-// Guards against memory that grows while nobody reads the output.
-TEST(EventLog, KeepsWithinItsBuffer)
+// Guards against a buffer that grows without bound while nobody reads standard
+// output.
+TEST(EventLog, DropsLinesWhenTheBufferIsFull)
 {
   const EventLogLimits small{ 1000, 1000, 1024 };
   EventLog log("test", small);
--- a/Tests/LibBase/TestJsonReader.cpp
+++ b/Tests/LibBase/TestJsonReader.cpp
@@ -9,7 +9,8 @@
 
 TEST_GROUP(JsonReader){};
 
-// Guards against settings that are read although a key is given twice.
+// Guards against settings that are accepted although a key is given twice or
+// text follows the document.
 TEST(JsonReader, RefusesDuplicateKeysAndTrailingText)
 {
   CHECK_FALSE(Succeeded(ParseJsonText("f", R"({"a": 1, "a": 2})")));
@@ -17,8 +18,8 @@
   CHECK_TRUE(Succeeded(ParseJsonText("f", "// why\n{\"a\": 1}")));
 }
 
-// Guards against a mistyped field that is silently ignored, and against an
-// error that does not say where the fault is and what is allowed.
+// Guards against a misspelt field that is silently ignored, and against an
+// error that does not state the position and the allowed values.
 TEST(JsonReader, NamesPositionFieldAndRange)
 {
   const auto parsed =
@@ -36,8 +37,8 @@
                errors[1].c_str());
 }
 
-// Guards against a syntax error whose position is on another line than its
-// file, which editors and scripts can't follow.
+// Guards against a syntax error whose position and file are not on one line,
+// the form that editors and scripts need to find the place.
 TEST(JsonReader, NamesPositionOfSyntaxErrors)
 {
   const auto parsed = ParseJsonText("s.jsonc", "{\n  \"a\": 1,\n  \"a\": 2\n}");
@@ -45,7 +46,8 @@
                ErrorOf(parsed).mMessage.c_str());
 }
 
-// Guards against a list element of the wrong type that is dropped silently.
+// Guards against an array element of the wrong type that is dropped without an
+// error.
 TEST(JsonReader, NamesPositionInLists)
 {
   const auto parsed = ParseJsonText("s.jsonc", R"({"a": ["x", 7]})");
--- a/Tests/LibBase/TestMetrics.cpp
+++ b/Tests/LibBase/TestMetrics.cpp
@@ -8,7 +8,8 @@
 
 TEST_GROUP(Metrics){};
 
-// Guards against quantiles off by more than a bucket.
+// Guards against quantiles that are wrong by more than the 5% width of a
+// bucket.
 TEST(Metrics, ReportsQuantilesWithinOneBucket)
 {
   Metrics metrics;
--- a/Tests/LibBase/TestRing.cpp
+++ b/Tests/LibBase/TestRing.cpp
@@ -8,7 +8,8 @@
 
 TEST_GROUP(Ring){};
 
-// Guards against a producer that blocks under overload.
+// Guards against a producer that blocks under overload, and against losing the
+// elements that a closed ring still contains.
 TEST(Ring, RefusesWhenFullAndWhenClosed)
 {
   Ring<int> ring(2);
