--- a/Services/Node/NodeProcess.cpp
+++ b/Services/Node/NodeProcess.cpp
@@ -43,8 +43,9 @@
   int Run();
 
 private:
-  void ServeClients(const HttpIncoming& aRequest, ReplyHandler aReply);
-  void ServeReadiness(const HttpIncoming& aRequest, const ReplyHandler& aReply);
+  void ServeClients(const HttpIncomingRequest& aRequest, ReplyHandler aReply);
+  void ServeReadiness(const HttpIncomingRequest& aRequest,
+                      const ReplyHandler& aReply);
   void WaitForTick();
   void WaitForSignal();
   /// Reads the settings again on SIGHUP; drains the node on other signals.
@@ -98,14 +99,14 @@
   , mClients(mLoop,
              mDeadlines,
              {},
-             [this](const HttpIncoming& aRequest, ReplyHandler aReply) {
+             [this](const HttpIncomingRequest& aRequest, ReplyHandler aReply) {
                ServeClients(aRequest, std::move(aReply));
              })
   , mReadiness(
       mLoop,
       mDeadlines,
       {},
-      [this](const HttpIncoming& aRequest, const ReplyHandler& aReply) {
+      [this](const HttpIncomingRequest& aRequest, const ReplyHandler& aReply) {
         ServeReadiness(aRequest, aReply);
       })
 {
@@ -130,7 +131,7 @@
 }
 
 void
-Process::ServeClients(const HttpIncoming& aRequest, ReplyHandler aReply)
+Process::ServeClients(const HttpIncomingRequest& aRequest, ReplyHandler aReply)
 {
   const MonotonicTime begin = BootTime();
   platform::HandleClientCall(
@@ -148,7 +149,7 @@
 }
 
 void
-Process::ServeReadiness(const HttpIncoming& aRequest,
+Process::ServeReadiness(const HttpIncomingRequest& aRequest,
                         const ReplyHandler& aReply)
 {
   if (aRequest.mTarget == platform::kReadinessPath) {
@@ -182,7 +183,7 @@
 bool
 Process::MayExit(MonotonicTime aNow) const
 {
-  const Millis latest = mSettings.mGrace - kGraceMargin;
+  const Millis latest = mSettings.mShutdownGrace - kGraceMargin;
   const Millis since = std::chrono::duration_cast<Millis>(aNow - mDrainBegunAt);
   if (since >= latest) {
     return true;
