--- a/Libraries/LibPlacement/Action.h
+++ b/Libraries/LibPlacement/Action.h
@@ -10,19 +10,21 @@
 
 namespace paddle {
 
-/// Start one attempt of a job on a worker. The shell adds epoch and lease.
+/// Orders a worker to start one attempt of a job. The code that sends the
+/// command adds the epoch and the lease.
 struct StartTask
 {
   WorkerIndex mWorker = 0;
   std::string mJob;
   std::uint32_t mAttempt = 0;
-  Amount mReserved;
-  std::string mCheckpoint;
-  WorkerToken mToken;
+  ResourceVector mReserved;
+  std::string mCheckpoint; ///< The task resumes from it; empty: none.
+  WorkerToken mToken;      ///< The worker rejects a start with an old token.
   TaskClass mClass = TaskClass::Batch;
   Seconds mExpectedTime{ 0 };
 };
 
+/// Orders a worker to stop one attempt of a job.
 struct StopTask
 {
   WorkerIndex mWorker = 0;
@@ -30,6 +32,7 @@
   std::uint32_t mAttempt = 0;
 };
 
+/// Orders a worker to checkpoint one attempt of a job, which runs on.
 struct CheckpointTask
 {
   WorkerIndex mWorker = 0;
@@ -37,6 +40,7 @@
   std::uint32_t mAttempt = 0;
 };
 
+/// Orders a worker to throttle one attempt of a job, or to end the throttling.
 struct ThrottleTask
 {
   WorkerIndex mWorker = 0;
@@ -45,11 +49,12 @@
   bool mThrottled = true;
 };
 
-/// Commit the durable state of a job; answered by HandleCommitted().
+/// Commits the durable state of a job to the table. The caller reports the
+/// result by HandleCommitted() or HandleNotAccepted().
 struct CommitRow
 {
-  std::uint64_t mSequence = 0;
-  bool mFirst = false; ///< The row must not exist yet.
+  std::uint64_t mSequence = 0; ///< Identifies the commit within the shard.
+  bool mMustNotExist = false;  ///< The commit fails if the row exists already.
   JobRow mRow;
 };
 
@@ -58,11 +63,14 @@
 
 using Actions = std::vector<Action>;
 
-/// What the next report request to a worker carries.
+/// The content of the next request for a report to a worker.
 struct PollPlan
 {
-  WorkerToken mToken; ///< Leases end a lease time after this moment.
+  /// Renewed leases end one lease term after this moment of the worker's clock.
+  WorkerToken mToken;
+  /// Job and attempt of each task whose lease is renewed.
   std::vector<std::pair<std::string, std::uint32_t>> mRenew;
+  /// Job and attempt of each outcome that the worker may forget.
   std::vector<std::pair<std::string, std::uint32_t>> mAcknowledge;
 };
 
--- a/Libraries/LibPlacement/Health.cpp
+++ b/Libraries/LibPlacement/Health.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// A worker that fails everything must not make jobs look bad.
+/// Removes the worker from the failures of the jobs that failed on it, because
+/// failures on a faulty worker say nothing about the jobs.
 void
-ForgiveJobs(Shard& aShard, WorkerIndex aWorker)
+ClearJobFailures(Shard& aShard, WorkerIndex aWorker)
 {
   for (const std::string& name : aShard.mWorkers[aWorker].mFailedJobs) {
     if (Job* job = FindJob(aShard, name)) {
@@ -19,28 +20,31 @@
   }
 }
 
+/// Stops placing on the worker for a time that doubles with each quarantine.
 void
 Quarantine(Shard& aShard, WorkerIndex aWorker, MonotonicTime aNow)
 {
   Worker& worker = aShard.mWorkers[aWorker];
   const Seconds longer = worker.mQuarantine * 2;
   worker.mQuarantine = std::clamp(
-    longer, aShard.mSettings.mQuarantine, aShard.mSettings.mLongestQuarantine);
+    longer, aShard.mSettings.mQuarantine, aShard.mSettings.mMaxQuarantine);
   worker.mQuarantinedUntil = aNow + worker.mQuarantine;
   worker.mOnProbation = false;
-  ForgiveJobs(aShard, aWorker);
+  ClearJobFailures(aShard, aWorker);
   worker.mFailedJobs.clear();
   ++aShard.mCounters.mQuarantines;
   UpdatePool(aShard, aWorker, aNow);
 }
 
+/// @return whether the slot's task is a batch task that is not being terminated
 bool
-IsBatch(const TaskSlot& aSlot)
+IsActiveBatch(const TaskSlot& aSlot)
 {
   return aSlot.mClass != TaskClass::Service &&
-         aSlot.mEnding == TaskSlot::Ending::No;
+         aSlot.mTermination == TaskSlot::Termination::None;
 }
 
+/// Throttles all batch tasks of the worker, or ends their throttling.
 void
 ThrottleBatch(WorkerIndex aIndex,
               Worker& aWorker,
@@ -48,7 +52,8 @@
               Actions& aActions)
 {
   for (TaskSlot& slot : aWorker.mSlots) {
-    if (IsBatch(slot) && slot.mReported && slot.mThrottled != aThrottled) {
+    if (IsActiveBatch(slot) && slot.mReported &&
+        slot.mThrottled != aThrottled) {
       slot.mThrottled = aThrottled;
       aActions.emplace_back(
         ThrottleTask{ aIndex, slot.mJob, slot.mAttempt, aThrottled });
@@ -56,41 +61,45 @@
   }
 }
 
+/// Evicts the batch task that loses the least work, if its team's budget of
+/// evictions allows it.
 void
-EvictOne(Shard& aShard,
-         WorkerIndex aWorker,
-         MonotonicTime aNow,
-         Actions& aActions)
+EvictCheapestBatchTask(Shard& aShard,
+                       WorkerIndex aWorker,
+                       MonotonicTime aNow,
+                       Actions& aActions)
 {
   TaskSlot* least = nullptr;
   for (TaskSlot& slot : aShard.mWorkers[aWorker].mSlots) {
-    if (IsBatch(slot) && slot.mReported && slot.mTeam &&
-        HasEviction(*slot.mTeam, aNow) &&
-        (!least || LostWork(slot) < LostWork(*least))) {
+    if (IsActiveBatch(slot) && slot.mReported && slot.mTeam &&
+        HasEvictionBudget(*slot.mTeam, aNow) &&
+        (!least || LostCoreSeconds(slot) < LostCoreSeconds(*least))) {
       least = &slot;
     }
   }
-  if (least && SpendEviction(*least->mTeam, aNow)) {
+  if (least && SpendEvictionBudget(*least->mTeam, aNow)) {
     EvictSlot(aShard, aWorker, *least, aNow, aActions);
   }
 }
 
-/// Latency above its target, or use above the capacity, counts as pressure
-/// above 1.
+/// @return the larger of the latency ratio and of the used share of the
+/// capacity;
+///         above 1, a service misses its target or the worker is overloaded
 double
 Pressure(const Worker& aWorker, double aLatencyRatio)
 {
-  Amount used;
+  ResourceVector used;
   for (const TaskSlot& slot : aWorker.mSlots) {
     used += slot.mUsed;
   }
   return std::max(aLatencyRatio, DominantShare(used, aWorker.mSpec.mCapacity));
 }
 
+/// @return the step @p aOffset steps away, limited to the existing ones
 InterferenceStep
-Neighbour(InterferenceStep aStep, int aBy)
+OffsetStep(InterferenceStep aStep, int aOffset)
 {
-  const int step = std::clamp(static_cast<int>(aStep) + aBy,
+  const int step = std::clamp(static_cast<int>(aStep) + aOffset,
                               static_cast<int>(InterferenceStep::None),
                               static_cast<int>(InterferenceStep::Evict));
   return static_cast<InterferenceStep>(step);
@@ -99,10 +108,10 @@
 } // namespace
 
 void
-BlameWorker(Shard& aShard,
-            WorkerIndex aWorker,
-            const std::string& aJob,
-            MonotonicTime aNow)
+RecordWorkerFailure(Shard& aShard,
+                    WorkerIndex aWorker,
+                    const std::string& aJob,
+                    MonotonicTime aNow)
 {
   Worker& worker = aShard.mWorkers[aWorker];
   if (std::find(worker.mFailedJobs.begin(), worker.mFailedJobs.end(), aJob) ==
@@ -116,7 +125,7 @@
 }
 
 void
-PraiseWorker(Shard& aShard, WorkerIndex aWorker)
+RecordWorkerSuccess(Shard& aShard, WorkerIndex aWorker)
 {
   Worker& worker = aShard.mWorkers[aWorker];
   worker.mFailedJobs.clear();
@@ -125,41 +134,47 @@
 }
 
 void
-AnswerInterference(Shard& aShard,
-                   WorkerIndex aWorker,
-                   double aLatencyRatio,
-                   MonotonicTime aNow,
-                   Actions& aActions)
+RespondToInterference(Shard& aShard,
+                      WorkerIndex aWorker,
+                      double aLatencyRatio,
+                      MonotonicTime aNow,
+                      Actions& aActions)
 {
-  // Steps up fast and down slowly, and nothing in between, so that noise in
-  // lagging measurements does not make the steps swing.
-  constexpr double kPressed = 1.0;
-  constexpr double kCalm = 0.8;
-  constexpr std::uint32_t kReportsUp = 2;
-  constexpr std::uint32_t kReportsDown = 5;
+  // The hysteresis keeps noise in delayed measurements from making the step
+  // oscillate: two reports above the upper limit escalate it, five below the
+  // lower limit de-escalate it, and pressure in between changes nothing.
+  constexpr double kHighPressure = 1.0;
+  constexpr double kLowPressure = 0.8;
+  constexpr std::uint32_t kReportsToEscalate = 2;
+  constexpr std::uint32_t kReportsToDeescalate = 5;
   Worker& worker = aShard.mWorkers[aWorker];
   const double pressure = Pressure(worker, aLatencyRatio);
-  if (aShard.mPolicy->mPressure == PressureAnswer::EvictAtOnce) {
-    if (pressure > kPressed) {
-      EvictOne(aShard, aWorker, aNow, aActions);
+  if (aShard.mPolicy->mInterferenceResponse ==
+      InterferenceResponse::EvictImmediately) {
+    if (pressure > kHighPressure) {
+      EvictCheapestBatchTask(aShard, aWorker, aNow, aActions);
     }
     return;
   }
-  worker.mPressedReports = pressure > kPressed ? worker.mPressedReports + 1 : 0;
-  worker.mCalmReports = pressure < kCalm ? worker.mCalmReports + 1 : 0;
-  if (worker.mPressedReports >= kReportsUp) {
-    worker.mPressedReports = 0;
-    worker.mStep = Neighbour(worker.mStep, 1);
-    if (worker.mStep == InterferenceStep::Evict) {
-      EvictOne(aShard, aWorker, aNow, aActions);
-      worker.mStep = InterferenceStep::Throttle;
+  worker.mHighPressureReports =
+    pressure > kHighPressure ? worker.mHighPressureReports + 1 : 0;
+  worker.mLowPressureReports =
+    pressure < kLowPressure ? worker.mLowPressureReports + 1 : 0;
+  if (worker.mHighPressureReports >= kReportsToEscalate) {
+    worker.mHighPressureReports = 0;
+    worker.mInterferenceStep = OffsetStep(worker.mInterferenceStep, 1);
+    if (worker.mInterferenceStep == InterferenceStep::Evict) {
+      EvictCheapestBatchTask(aShard, aWorker, aNow, aActions);
+      worker.mInterferenceStep = InterferenceStep::Throttle;
     }
-  } else if (worker.mCalmReports >= kReportsDown) {
-    worker.mCalmReports = 0;
-    worker.mStep = Neighbour(worker.mStep, -1);
+  } else if (worker.mLowPressureReports >= kReportsToDeescalate) {
+    worker.mLowPressureReports = 0;
+    worker.mInterferenceStep = OffsetStep(worker.mInterferenceStep, -1);
   }
-  ThrottleBatch(
-    aWorker, worker, worker.mStep >= InterferenceStep::Throttle, aActions);
+  ThrottleBatch(aWorker,
+                worker,
+                worker.mInterferenceStep >= InterferenceStep::Throttle,
+                aActions);
   UpdatePool(aShard, aWorker, aNow);
 }
 
--- a/Libraries/LibPlacement/Jobs.cpp
+++ b/Libraries/LibPlacement/Jobs.cpp
@@ -9,7 +9,7 @@
 namespace placement {
 
 Team&
-TeamOf(Shard& aShard, std::string_view aName)
+FindOrAddTeam(Shard& aShard, std::string_view aName)
 {
   const auto found = aShard.mTeams.find(aName);
   if (found != aShard.mTeams.end()) {
@@ -39,38 +39,42 @@
 
 namespace {
 
+/// Issues a commit of the job's row as it is now.
+/// @param aMustNotExist whether the commit creates the row
+/// @return the sequence of the commit
 std::uint64_t
-CommitJob(Shard& aShard, Job& aJob, bool aFirst, Actions& aActions)
+CommitJob(Shard& aShard, Job& aJob, bool aMustNotExist, Actions& aActions)
 {
-  aJob.mCommit = aShard.mNextCommit++;
-  aActions.emplace_back(CommitRow{ aJob.mCommit, aFirst, aJob.mRow });
-  return aJob.mCommit;
+  aJob.mLatestCommit = aShard.mNextCommit++;
+  aActions.emplace_back(
+    CommitRow{ aJob.mLatestCommit, aMustNotExist, aJob.mRow });
+  return aJob.mLatestCommit;
 }
 
 } // namespace
 
 void
-Record(Shard& aShard, Job& aJob, JobPhase aNext, Actions& aActions)
+CommitPhase(Shard& aShard, Job& aJob, JobPhase aNext, Actions& aActions)
 {
   if (aJob.mPhase == JobPhase::Queued) {
     Dequeue(aShard, aJob);
   }
-  aJob.mPhase = JobPhase::Recording;
+  aJob.mPhase = JobPhase::Committing;
   aJob.mWorker.reset();
-  aJob.mAfterCommit = aNext;
+  aJob.mPhaseAfterCommit = aNext;
   aJob.mRow.mPhase = aNext;
   CommitJob(aShard, aJob, false, aActions);
 }
 
 void
-RecordNextAttempt(Shard& aShard, Job& aJob, Actions& aActions)
+CommitNextAttempt(Shard& aShard, Job& aJob, Actions& aActions)
 {
   if (aJob.mRow.mCancelRequested) {
-    Record(aShard, aJob, JobPhase::Cancelled, aActions);
+    CommitPhase(aShard, aJob, JobPhase::Cancelled, aActions);
     return;
   }
   ++aJob.mRow.mAttempt;
-  Record(aShard, aJob, JobPhase::Queued, aActions);
+  CommitPhase(aShard, aJob, JobPhase::Queued, aActions);
 }
 
 } // namespace placement
@@ -80,30 +84,30 @@
 Shard
 MakeShard(const PlacementSettings& aSettings,
           const PlacementPolicy& aPolicy,
-          History aHistory,
+          PriorOwner aPriorOwner,
           MonotonicTime aNow)
 {
   Shard shard;
   shard.mSettings = aSettings;
   shard.mPolicy = &aPolicy;
-  shard.mTakenAt = aNow;
-  shard.mResolved = aHistory == History::None;
+  shard.mTakenOverAt = aNow;
+  shard.mReconciled = aPriorOwner == PriorOwner::None;
   return shard;
 }
 
 void
 SetTeam(Shard& aShard,
         std::string_view aTeam,
-        const Amount& aQuota,
+        const ResourceVector& aQuota,
         double aEvictionsPerHour,
         MonotonicTime aNow)
 {
-  Team& team = TeamOf(aShard, aTeam);
+  Team& team = FindOrAddTeam(aShard, aTeam);
   team.mQuota = aQuota;
   if (team.mEvictionsPerHour != aEvictionsPerHour) {
     team.mEvictionsPerHour = aEvictionsPerHour;
     team.mEvictionsLeft = aEvictionsPerHour;
-    team.mEvictionsAt = aNow;
+    team.mEvictionsUpdatedAt = aNow;
   }
 }
 
@@ -116,11 +120,12 @@
 
 namespace {
 
+/// Adds a job that was accepted now; the caller sets its phase.
 Job&
 AddJob(Shard& aShard, JobRow aRow, MonotonicTime aNow)
 {
   auto job = std::make_unique<Job>();
-  job->mTeam = &TeamOf(aShard, aRow.mSpec.mTeam);
+  job->mTeam = &FindOrAddTeam(aShard, aRow.mSpec.mTeam);
   job->mOrder = aShard.mNextOrder++;
   job->mAcceptedAt = aNow;
   job->mRow = std::move(aRow);
@@ -139,8 +144,8 @@
   }
   Job& job = AddJob(aShard, std::move(aRow), aNow);
   job.mAccepted = true;
-  job.mPhase = JobPhase::Doubtful;
-  if (aShard.mResolved) {
+  job.mPhase = JobPhase::Reconciling;
+  if (aShard.mReconciled) {
     Enqueue(aShard, job);
   }
 }
@@ -165,8 +170,8 @@
   JobRow row;
   row.mSpec = std::move(aSpec);
   Job& job = AddJob(aShard, std::move(row), aNow);
-  job.mPhase = JobPhase::Recording;
-  job.mAfterCommit = JobPhase::Queued;
+  job.mPhase = JobPhase::Committing;
+  job.mPhaseAfterCommit = JobPhase::Queued;
   CommitJob(aShard, job, true, aActions);
   return AcceptResult::Committing;
 }
@@ -184,12 +189,13 @@
   job->mRow.mCancelRequested = true;
   switch (job->mPhase) {
     case JobPhase::Queued:
-      Record(aShard, *job, JobPhase::Cancelled, aActions);
+      CommitPhase(aShard, *job, JobPhase::Cancelled, aActions);
       break;
-    case JobPhase::Recording: {
-      const JobPhase next =
-        IsTerminal(job->mAfterCommit) ? job->mAfterCommit : JobPhase::Cancelled;
-      Record(aShard, *job, next, aActions);
+    case JobPhase::Committing: {
+      const JobPhase next = IsTerminal(job->mPhaseAfterCommit)
+                              ? job->mPhaseAfterCommit
+                              : JobPhase::Cancelled;
+      CommitPhase(aShard, *job, next, aActions);
       break;
     }
     default:
@@ -212,7 +218,7 @@
     return std::nullopt;
   }
   Dequeue(aShard, *job);
-  job->mPhase = JobPhase::Moved;
+  job->mPhase = JobPhase::Moving;
   return job->mRow;
 }
 
@@ -220,7 +226,7 @@
 EndMove(Shard& aShard, std::string_view aJob, MoveResult aResult)
 {
   Job* job = FindJob(aShard, aJob);
-  if (!job || job->mPhase != JobPhase::Moved) {
+  if (!job || job->mPhase != JobPhase::Moving) {
     return;
   }
   if (aResult == MoveResult::Done) {
@@ -242,10 +248,10 @@
     return;
   }
   job->mAccepted = true;
-  if (job->mCommit != aSequence || job->mPhase != JobPhase::Recording) {
+  if (job->mLatestCommit != aSequence || job->mPhase != JobPhase::Committing) {
     return;
   }
-  if (IsTerminal(job->mAfterCommit)) {
+  if (IsTerminal(job->mPhaseAfterCommit)) {
     aShard.mJobs.erase(std::string(aJob));
     return;
   }
--- a/Libraries/LibPlacement/PlacementPolicy.h
+++ b/Libraries/LibPlacement/PlacementPolicy.h
@@ -9,32 +9,40 @@
 
 namespace paddle {
 
-/// What the core does about interference on a worker.
-enum class PressureAnswer
+/// How LibPlacement responds to interference on a worker: services that miss
+/// their latency targets, or usage above the capacity.
+enum class InterferenceResponse
 {
-  EvictAtOnce, ///< Evicts a batch task at each report that shows pressure.
-  Stepwise     ///< Stops adding, throttles, then evicts, with hysteresis.
+  /// Evict one batch task at each report that shows interference.
+  EvictImmediately,
+  /// Stop placing, then throttle, then evict, with hysteresis in between.
+  EscalateInSteps
 };
 
-/// A plug-in that decides how much to reserve and which worker to use. The
-/// core checks every choice against capacity, health and data centre state.
+/// A plug-in that decides how much to reserve for a task and which worker it
+/// runs on. LibPlacement checks each choice by MayPlace().
 struct PlacementPolicy
 {
-  /// @return what to reserve for the job's task; at least what it declares
-  std::function<Amount(const Shard&, const Job&)> mReserve;
+  /// @return the resources to reserve for the job's task, at least the declared
+  ///         ones
+  std::function<ResourceVector(const Shard&, const Job&)> mSizeReservation;
   /// @return a worker for which MayPlace() holds, or nothing
   std::function<std::optional<WorkerIndex>(const Shard&,
                                            const Job&,
-                                           const Amount& aReserve,
+                                           const ResourceVector& aReservation,
                                            MonotonicTime aNow)>
-    mChoose;
-  /// Takes note of one task's reported usage.
-  std::function<
-    void(Team&, TaskClass, const Amount& aDeclared, const Amount& aUsed)>
-    mLearn;
-  /// Whether reservations follow the reported usage.
-  bool mFollowsUse = false;
-  PressureAnswer mPressure = PressureAnswer::EvictAtOnce;
+    mChooseWorker;
+  /// Updates the team's usage model with one task's reported usage.
+  std::function<void(Team&,
+                     TaskClass,
+                     const ResourceVector& aDeclared,
+                     const ResourceVector& aUsed)>
+    mRecordUsage;
+  /// Whether mRecordUsage is called, and reservations grow with the reported
+  /// usage of their tasks.
+  bool mAdjustsReservations = false;
+  InterferenceResponse mInterferenceResponse =
+    InterferenceResponse::EvictImmediately;
 };
 
 } // namespace paddle
--- a/Libraries/LibPlacement/Placing.cpp
+++ b/Libraries/LibPlacement/Placing.cpp
@@ -11,6 +11,7 @@
 
 using namespace placement;
 
+/// @return whether the job may run in the data centre
 bool
 AllowedIn(const JobSpec& aSpec, const std::string& aDataCentre)
 {
@@ -20,19 +21,21 @@
                    aDataCentre) != aSpec.mDataCentres.end();
 }
 
+/// @return the amounts as a text for users
 std::string
-SizeText(const Amount& aAmount)
+SizeText(const ResourceVector& aAmount)
 {
   return std::to_string(static_cast<double>(aAmount.mMilliCores) / 1000) +
          " cores, " + std::to_string(aAmount.mMemoryMb) + " MB, " +
          std::to_string(aAmount.mAccelerators) + " accelerators";
 }
 
+/// Starts the queued job on the worker and reserves its resources there.
 void
 StartOn(Shard& aShard,
         Job& aJob,
         WorkerIndex aWorker,
-        const Amount& aReserve,
+        const ResourceVector& aReservation,
         MonotonicTime aNow,
         Actions& aActions)
 {
@@ -41,22 +44,22 @@
   aJob.mPhase = JobPhase::Starting;
   aJob.mWorker = aWorker;
   aJob.mStartedAt = aNow;
-  if (worker.mKeptFor == aJob.mRow.mSpec.mJob) {
-    worker.mKeptFor.clear();
+  if (worker.mReservedFor == aJob.mRow.mSpec.mJob) {
+    worker.mReservedFor.clear();
   }
-  aJob.mKeptUntil.reset();
+  aJob.mWorkerReservedUntil.reset();
   TaskSlot slot;
   slot.mJob = aJob.mRow.mSpec.mJob;
   slot.mAttempt = aJob.mRow.mAttempt;
   slot.mDeclared = aJob.mRow.mSpec.mDeclared;
-  slot.mReserved = ReserveOn(worker, aJob, aReserve);
+  slot.mReserved = ReservationOn(worker, aJob, aReservation);
   slot.mTeam = aJob.mTeam;
   slot.mClass = aJob.mRow.mSpec.mClass;
   slot.mToken = worker.mToken;
   slot.mCheckpoint = aJob.mRow.mCheckpoint;
-  DataCentreGate& gate = aShard.mDataCentres[worker.mDataCentre];
-  if (gate.mReturnedAt) {
-    gate.mStartedSinceReturn += slot.mReserved.mMilliCores;
+  DataCentreStatus& dataCentre = aShard.mDataCentres[worker.mDataCentre];
+  if (dataCentre.mReturnedAt) {
+    dataCentre.mMilliCoresStartedSinceReturn += slot.mReserved.mMilliCores;
   }
   ++aShard.mCounters.mStarts;
   aActions.emplace_back(StartTask{ aWorker,
@@ -70,85 +73,98 @@
   AddSlot(aShard, aWorker, std::move(slot), aNow);
 }
 
-/// Position in one team's queue during one pass.
-struct Cursor
+/// The position of a pass in one team's queue.
+struct TeamCursor
 {
   Team* mTeam = nullptr;
   std::map<std::uint64_t, Job*>::iterator mNext;
-  double mScore = 0; ///< The lowest is served first.
-  std::size_t mTries = 0;
+  double mScore = 0;      ///< The team with the lowest score is served first.
+  std::size_t mTries = 0; ///< Jobs of the team that could not be started.
 };
 
-/// One pass over the waiting jobs of one class.
-struct Pass
+/// The state of one pass over the queued jobs of one class.
+struct PlacementPass
 {
   Shard& mShard;
   TaskClass mClass;
   MonotonicTime mNow;
   Actions& mActions;
-  std::vector<Cursor> mCursors;
-  /// A size that did not fit anywhere: what needs no less is not tried.
-  std::optional<Amount> mFailed;
+  std::vector<TeamCursor> mCursors;
+  /// A reservation that fitted on no worker. Jobs that need at least as much of
+  /// each resource are not tried in this pass.
+  std::optional<ResourceVector> mKnownNotToFit;
 };
 
-/// A team's share of its quota; ten minutes of waiting outweigh a whole
-/// quota, so that no team waits for ever.
+/// @return the score of the team whose job is at the cursor: the dominant share
+///         of its quota that is in use, less the job's waiting time. Ten
+///         minutes of waiting weigh as much as a whole quota, so that no team
+///         starves.
 double
-Score(const Pass& aPass, const Cursor& aCursor)
+FairShareScore(const PlacementPass& aPass, const TeamCursor& aCursor)
 {
-  constexpr double kFullAgeS = 600;
+  constexpr double kWaitEqualToQuotaS = 600;
   const Team& team = *aCursor.mTeam;
-  const Amount& quota =
-    team.mQuota == Amount{} ? aPass.mShard.mCapacity : team.mQuota;
+  const ResourceVector& quota =
+    team.mQuota == ResourceVector{} ? aPass.mShard.mCapacity : team.mQuota;
   const std::chrono::duration<double> age =
     aPass.mNow - aCursor.mNext->second->mAcceptedAt;
-  return DominantShare(team.mUsed, quota) - age.count() / kFullAgeS;
+  return DominantShare(team.mReserved, quota) -
+         age.count() / kWaitEqualToQuotaS;
 }
 
+/// @return the team's queue for the class of the pass
 std::map<std::uint64_t, Job*>&
-QueueOf(const Pass& aPass, Team& aTeam)
+QueueOf(const PlacementPass& aPass, Team& aTeam)
 {
   return aTeam.mQueues[static_cast<std::size_t>(aPass.mClass)];
 }
 
+/// Adds a cursor for each team that has queued jobs of the class.
 void
-CollectCursors(Pass& aPass)
+CollectCursors(PlacementPass& aPass)
 {
   for (const auto& [name, team] : aPass.mShard.mTeams) {
     auto& queue = QueueOf(aPass, *team);
     if (!queue.empty()) {
-      Cursor cursor{ team.get(), queue.begin(), 0, 0 };
-      cursor.mScore = Score(aPass, cursor);
+      TeamCursor cursor{ team.get(), queue.begin(), 0, 0 };
+      cursor.mScore = FairShareScore(aPass, cursor);
       aPass.mCursors.push_back(cursor);
     }
   }
 }
 
+/// @return whether the pass has shown already that the job fits on no worker. A
+///         job for which a worker is or was reserved is always tried.
 bool
-SurelyNoRoom(const Pass& aPass, const Job& aJob, const Amount& aReserve)
+IsKnownNotToFit(const PlacementPass& aPass,
+                const Job& aJob,
+                const ResourceVector& aReservation)
 {
-  return aPass.mFailed && Fits(*aPass.mFailed, aReserve) && !aJob.mKeptUntil;
+  return aPass.mKnownNotToFit && Fits(*aPass.mKnownNotToFit, aReservation) &&
+         !aJob.mWorkerReservedUntil;
 }
 
+/// Handles that no worker takes the job now: makes room for a service, and
+/// reserves a worker for a batch job that has waited too long.
 void
-NoteNoRoom(Pass& aPass, Job& aJob, const Amount& aReserve)
+HandleNoFit(PlacementPass& aPass, Job& aJob, const ResourceVector& aReservation)
 {
   if (aJob.mRow.mSpec.mDataCentres.empty() && aJob.mFailedOn.empty() &&
-      !aPass.mFailed) {
-    aPass.mFailed = aReserve;
+      !aPass.mKnownNotToFit) {
+    aPass.mKnownNotToFit = aReservation;
   }
   if (aPass.mClass == TaskClass::Service) {
-    MakeRoom(aPass.mShard, aJob, aPass.mNow, aPass.mActions);
+    PreemptBatch(aPass.mShard, aJob, aPass.mNow, aPass.mActions);
   } else if (aPass.mNow - aJob.mAcceptedAt >=
-             aPass.mShard.mSettings.mReserveAfter) {
-    KeepWorkerFree(aPass.mShard, aJob, aPass.mNow);
+             aPass.mShard.mSettings.mReserveWorkerAfter) {
+    ReserveWorkerForStarvedJob(aPass.mShard, aJob, aPass.mNow);
   }
 }
 
-/// Tries the job at the cursor and moves the cursor on.
+/// Tries to start the job at the cursor and advances the cursor.
 /// @return whether it was started
 bool
-TryNext(Pass& aPass, Cursor& aCursor)
+TryNext(PlacementPass& aPass, TeamCursor& aCursor)
 {
   Shard& shard = aPass.mShard;
   Job& job = *aCursor.mNext->second;
@@ -157,22 +173,28 @@
     ++aCursor.mTries;
     return false;
   }
-  const Amount reserve = shard.mPolicy->mReserve(shard, job);
-  if (!SurelyNoRoom(aPass, job, reserve)) {
-    const auto worker = shard.mPolicy->mChoose(shard, job, reserve, aPass.mNow);
+  const ResourceVector reservation =
+    shard.mPolicy->mSizeReservation(shard, job);
+  if (!IsKnownNotToFit(aPass, job, reservation)) {
+    const auto worker =
+      shard.mPolicy->mChooseWorker(shard, job, reservation, aPass.mNow);
     if (worker &&
-        MayPlace(shard, job, shard.mWorkers[*worker], reserve, aPass.mNow)) {
-      StartOn(shard, job, *worker, reserve, aPass.mNow, aPass.mActions);
+        MayPlace(
+          shard, job, shard.mWorkers[*worker], reservation, aPass.mNow)) {
+      StartOn(shard, job, *worker, reservation, aPass.mNow, aPass.mActions);
       return true;
     }
-    NoteNoRoom(aPass, job, reserve);
+    HandleNoFit(aPass, job, reservation);
   }
   ++aCursor.mTries;
   return false;
 }
 
+/// Starts queued jobs of one class, one at a time from the team with the lowest
+/// score.
+/// @return the number of starts
 std::size_t
-RunPass(Pass& aPass, std::size_t aLimit)
+RunPass(PlacementPass& aPass, std::size_t aLimit)
 {
   CollectCursors(aPass);
   std::size_t started = 0;
@@ -181,16 +203,16 @@
     const auto lowest =
       std::min_element(cursors.begin(),
                        cursors.end(),
-                       [](const Cursor& aLeft, const Cursor& aRight) {
+                       [](const TeamCursor& aLeft, const TeamCursor& aRight) {
                          return aLeft.mScore < aRight.mScore;
                        });
     started += TryNext(aPass, *lowest) ? 1 : 0;
     if (lowest->mNext == QueueOf(aPass, *lowest->mTeam).end() ||
-        lowest->mTries >= aPass.mShard.mSettings.mLookahead) {
+        lowest->mTries >= aPass.mShard.mSettings.mMaxFailedTriesPerTeam) {
       *lowest = cursors.back();
       cursors.pop_back();
     } else {
-      lowest->mScore = Score(aPass, *lowest);
+      lowest->mScore = FairShareScore(aPass, *lowest);
     }
   }
   return started;
@@ -210,25 +232,25 @@
     if (aShard.mQueued == 0 || started >= aLimit) {
       break;
     }
-    Pass pass{ aShard, taskClass, aNow, aActions, {}, {} };
+    PlacementPass pass{ aShard, taskClass, aNow, aActions, {}, {} };
     started += RunPass(pass, aLimit - started);
   }
   return started;
 }
 
 bool
-CouldHold(const WorkerSpec& aWorker, const JobSpec& aJob)
+CouldEverRun(const WorkerSpec& aWorker, const JobSpec& aJob)
 {
   return Fits(aJob.mDeclared, aWorker.mCapacity) &&
          AllowedIn(aJob, aWorker.mDataCentre);
 }
 
 std::optional<std::string>
-WhyNeverHeld(const std::vector<WorkerSpec>& aWorkers, const JobSpec& aJob)
+WhyUnplaceable(const std::vector<WorkerSpec>& aWorkers, const JobSpec& aJob)
 {
-  Amount largest;
+  ResourceVector largest;
   for (const WorkerSpec& worker : aWorkers) {
-    if (CouldHold(worker, aJob)) {
+    if (CouldEverRun(worker, aJob)) {
       return std::nullopt;
     }
     if (AllowedIn(aJob, worker.mDataCentre) &&
@@ -237,7 +259,7 @@
       largest = worker.mCapacity;
     }
   }
-  if (largest == Amount{}) {
+  if (largest == ResourceVector{}) {
     return "no worker exists in the data centres that job " + aJob.mJob +
            " allows";
   }
@@ -246,31 +268,33 @@
          SizeText(largest);
 }
 
-Amount
-ReserveOn(const Worker& aWorker, const Job& aJob, const Amount& aReserve)
+ResourceVector
+ReservationOn(const Worker& aWorker,
+              const Job& aJob,
+              const ResourceVector& aReservation)
 {
-  return Largest(aJob.mRow.mSpec.mDeclared,
-                 Smallest(aReserve, aWorker.mSpec.mCapacity));
+  return ElementwiseMax(aJob.mRow.mSpec.mDeclared,
+                        ElementwiseMin(aReservation, aWorker.mSpec.mCapacity));
 }
 
 bool
 MayPlace(const Shard& aShard,
          const Job& aJob,
          const Worker& aWorker,
-         const Amount& aReserve,
+         const ResourceVector& aReservation,
          MonotonicTime aNow)
 {
-  if (!aWorker.mPoolKey || !aWorker.mHeardAt ||
-      aNow - *aWorker.mHeardAt > aShard.mSettings.mOldestTokenToSend) {
+  if (!aWorker.mPoolKey || !aWorker.mLastReportAt ||
+      aNow - *aWorker.mLastReportAt > aShard.mSettings.mMaxTokenAgeToSend) {
     return false;
   }
-  const Amount reserve = ReserveOn(aWorker, aJob, aReserve);
-  if (!Fits(reserve, aWorker.mFree) ||
+  const ResourceVector reservation = ReservationOn(aWorker, aJob, aReservation);
+  if (!Fits(reservation, aWorker.mFree) ||
       !AllowedIn(aJob.mRow.mSpec, aWorker.mSpec.mDataCentre)) {
     return false;
   }
-  if (!aWorker.mKeptFor.empty() && aWorker.mKeptUntil > aNow &&
-      aWorker.mKeptFor != aJob.mRow.mSpec.mJob) {
+  if (!aWorker.mReservedFor.empty() && aWorker.mReservedUntil > aNow &&
+      aWorker.mReservedFor != aJob.mRow.mSpec.mJob) {
     return false;
   }
   const auto index =
@@ -280,15 +304,15 @@
       aShard.mWorkers.size() > aJob.mFailedOn.size()) {
     return false;
   }
-  return GateOpen(
-    aShard, aShard.mDataCentres[aWorker.mDataCentre], reserve, aNow);
+  return AllowsStart(
+    aShard, aShard.mDataCentres[aWorker.mDataCentre], reservation, aNow);
 }
 
 std::string
 ExplainJob(const Shard& aShard, const Job& aJob, MonotonicTime aNow)
 {
   switch (aJob.mPhase) {
-    case JobPhase::Doubtful:
+    case JobPhase::Reconciling:
       return "waits until every worker that may still run it has reported or "
              "its lease has ended, after a change of owner";
     case JobPhase::Starting:
@@ -299,15 +323,15 @@
     case JobPhase::Evicting:
       return "is being checkpointed and moved away from " +
              aShard.mWorkers[*aJob.mWorker].mSpec.mName;
-    case JobPhase::Recording:
+    case JobPhase::Committing:
       return "its state is being written to the table service";
-    case JobPhase::Ended:
+    case JobPhase::Completed:
       return "ended";
     case JobPhase::Cancelled:
       return "cancelled";
     case JobPhase::Held:
       return "held: " + aJob.mRow.mReason;
-    case JobPhase::Moved:
+    case JobPhase::Moving:
       return "is being given to another shard";
     case JobPhase::Queued:
       break;
@@ -319,16 +343,17 @@
   const bool anyOpen = std::any_of(
     aShard.mDataCentres.begin(),
     aShard.mDataCentres.end(),
-    [&](const DataCentreGate& aGate) {
-      return AllowedIn(aJob.mRow.mSpec, aGate.mName) &&
-             GateOpen(aShard, aGate, aJob.mRow.mSpec.mDeclared, aNow);
+    [&](const DataCentreStatus& aDataCentre) {
+      return AllowedIn(aJob.mRow.mSpec, aDataCentre.mName) &&
+             AllowsStart(aShard, aDataCentre, aJob.mRow.mSpec.mDeclared, aNow);
     });
   if (!anyOpen) {
     return "waits for proof that a data centre it allows is in service";
   }
-  return "waits for " + SizeText(aShard.mPolicy->mReserve(aShard, aJob)) +
+  return "waits for " +
+         SizeText(aShard.mPolicy->mSizeReservation(aShard, aJob)) +
          " to become free on one worker; team " + aJob.mTeam->mName + " uses " +
-         SizeText(aJob.mTeam->mUsed) + " now";
+         SizeText(aJob.mTeam->mReserved) + " now";
 }
 
 } // namespace paddle
--- a/Libraries/LibPlacement/Policies/FirstFit.cpp
+++ b/Libraries/LibPlacement/Policies/FirstFit.cpp
@@ -5,16 +5,17 @@
 
 namespace {
 
-/// The baseline: the first worker with room, reserving what was declared.
-/// Evicts on any pressure.
+/// Chooses the first worker with room. The first-fit policy reserves what was
+/// declared and evicts a batch task on any interference; it is the baseline for
+/// comparisons with other policies.
 std::optional<WorkerIndex>
 ChooseFirst(const Shard& aShard,
             const Job& aJob,
-            const Amount& aReserve,
+            const ResourceVector& aReservation,
             MonotonicTime aNow)
 {
   for (WorkerIndex i = 0; i < aShard.mWorkers.size(); ++i) {
-    if (MayPlace(aShard, aJob, aShard.mWorkers[i], aReserve, aNow)) {
+    if (MayPlace(aShard, aJob, aShard.mWorkers[i], aReservation, aNow)) {
       return i;
     }
   }
@@ -25,9 +26,9 @@
   "first-fit",
   { [](const Shard&, const Job& aJob) { return aJob.mRow.mSpec.mDeclared; },
     ChooseFirst,
-    [](Team&, TaskClass, const Amount&, const Amount&) {},
+    [](Team&, TaskClass, const ResourceVector&, const ResourceVector&) {},
     false,
-    PressureAnswer::EvictAtOnce });
+    InterferenceResponse::EvictImmediately });
 
 } // namespace
 
--- a/Libraries/LibPlacement/Policies/Learned.cpp
+++ b/Libraries/LibPlacement/Policies/Learned.cpp
@@ -5,72 +5,78 @@
 
 namespace {
 
-/// The most workers looked at from either end of a pool, which bounds the
-/// time of one placement.
-constexpr int kMostTried = 32;
+/// The maximum number of workers examined from either end of a pool. It bounds
+/// the time of one placement.
+constexpr int kMaxWorkersTried = 32;
 
-Amount
+/// @return the usage that the team's model expects, but at least what the job
+///         declares
+ResourceVector
 ReserveLearned(const Shard&, const Job& aJob)
 {
   const JobSpec& spec = aJob.mRow.mSpec;
   const UsageModel& model =
-    aJob.mTeam->mUsage[static_cast<std::size_t>(spec.mClass)];
-  return Largest(spec.mDeclared, Expected(model, spec.mDeclared));
+    aJob.mTeam->mUsageModels[static_cast<std::size_t>(spec.mClass)];
+  return ElementwiseMax(spec.mDeclared, ExpectedUsage(model, spec.mDeclared));
 }
 
-/// The fullest worker that has room, so that large tasks keep finding room;
-/// then the emptiest ones, where another resource than processors is scarce.
+/// Chooses the worker with the fewest free cores that has room, so that room
+/// for large tasks is left on other workers. If the first workers lack another
+/// resource, those with the most free cores are tried.
+/// @return the worker, or nothing if no worker that was tried has room
 std::optional<WorkerIndex>
 ChooseInPool(const Shard& aShard,
              const Pool& aPool,
              const Job& aJob,
-             const Amount& aReserve,
+             const ResourceVector& aReservation,
              MonotonicTime aNow)
 {
-  const auto may = [&](WorkerIndex aWorker) {
-    return MayPlace(aShard, aJob, aShard.mWorkers[aWorker], aReserve, aNow);
+  const auto mayPlace = [&](WorkerIndex aWorker) {
+    return MayPlace(aShard, aJob, aShard.mWorkers[aWorker], aReservation, aNow);
   };
   const std::int64_t cores =
-    std::min(aReserve.mMilliCores, aPool.mLargestCores);
-  const auto lowest = aPool.mByFree.lower_bound({ cores, 0 });
+    std::min(aReservation.mMilliCores, aPool.mLargestWorkerMilliCores);
+  const auto lowest = aPool.mWorkersByFreeMilliCores.lower_bound({ cores, 0 });
   auto candidate = lowest;
-  for (int i = 0; i < kMostTried; ++i, ++candidate) {
-    if (candidate == aPool.mByFree.end()) {
+  for (int i = 0; i < kMaxWorkersTried; ++i, ++candidate) {
+    if (candidate == aPool.mWorkersByFreeMilliCores.end()) {
       return std::nullopt;
     }
-    if (may(candidate->second)) {
+    if (mayPlace(candidate->second)) {
       return candidate->second;
     }
   }
-  candidate = aPool.mByFree.end();
-  for (int i = 0; i < kMostTried && candidate != lowest; ++i) {
+  candidate = aPool.mWorkersByFreeMilliCores.end();
+  for (int i = 0; i < kMaxWorkersTried && candidate != lowest; ++i) {
     --candidate;
-    if (may(candidate->second)) {
+    if (mayPlace(candidate->second)) {
       return candidate->second;
     }
   }
   return std::nullopt;
 }
 
-/// Workers with accelerators are left to tasks that need them, as long as
-/// others have room.
+/// Chooses the worker with the fewest free cores of those that ChooseInPool()
+/// finds. A worker with accelerators is used for a task that needs none only if
+/// no other worker has room.
 std::optional<WorkerIndex>
 ChooseBestFit(const Shard& aShard,
               const Job& aJob,
-              const Amount& aReserve,
+              const ResourceVector& aReservation,
               MonotonicTime aNow)
 {
   std::optional<WorkerIndex> best;
   for (const bool accelerators : { false, true }) {
-    if (best || (!accelerators && aReserve.mAccelerators > 0)) {
+    if (best || (!accelerators && aReservation.mAccelerators > 0)) {
       continue;
     }
     for (const Pool& pool : aShard.mPools) {
       if (pool.mAccelerators != accelerators ||
-          !GateOpen(aShard, aShard.mDataCentres[pool.mDataCentre], {}, aNow)) {
+          !AllowsStart(
+            aShard, aShard.mDataCentres[pool.mDataCentre], {}, aNow)) {
         continue;
       }
-      const auto found = ChooseInPool(aShard, pool, aJob, aReserve, aNow);
+      const auto found = ChooseInPool(aShard, pool, aJob, aReservation, aNow);
       if (found && (!best || aShard.mWorkers[*found].mFree.mMilliCores <
                                aShard.mWorkers[*best].mFree.mMilliCores)) {
         best = found;
@@ -86,12 +92,13 @@
     ChooseBestFit,
     [](Team& aTeam,
        TaskClass aClass,
-       const Amount& aDeclared,
-       const Amount& aUsed) {
-      Learn(aTeam.mUsage[static_cast<std::size_t>(aClass)], aDeclared, aUsed);
+       const ResourceVector& aDeclared,
+       const ResourceVector& aUsed) {
+      UpdateUsageModel(
+        aTeam.mUsageModels[static_cast<std::size_t>(aClass)], aDeclared, aUsed);
     },
     true,
-    PressureAnswer::Stepwise });
+    InterferenceResponse::EscalateInSteps });
 
 } // namespace
 
--- a/Libraries/LibPlacement/Report.h
+++ b/Libraries/LibPlacement/Report.h
@@ -4,29 +4,29 @@
 #include <string>
 #include <vector>
 
-#include <LibPlacement/Amount.h>
+#include <LibPlacement/ResourceVector.h>
 #include <LibPlacement/Worker.h>
 
 namespace paddle {
 
-/// A task that runs, as its worker reports it. Usage lags.
+/// A running task as its worker reports it. The reported usage is delayed.
 struct TaskReport
 {
   std::string mJob;
   std::uint32_t mAttempt = 0;
-  Amount mReserved; ///< As the start gave it.
-  Amount mUsed;
+  ResourceVector mReserved; ///< As the start command gave it.
+  ResourceVector mUsed;
   std::string mCheckpoint;
-  Millis mSinceCheckpoint{ 0 };
-  /// Services: measured latency as a multiple of its target; 0: unknown.
+  Millis mSinceCheckpoint{ 0 }; ///< Run time since the latest checkpoint.
+  /// Latency of a service as a multiple of its target; 0: unknown.
   double mLatencyRatio = 0;
 };
 
 enum class TaskResult
 {
-  Ended,  ///< Did all its work.
-  Failed, ///< Broke off by itself.
-  Stopped ///< Was stopped by command or because its lease ended.
+  Completed, ///< The task did all its work.
+  Failed,    ///< The task ended by itself before its work was done.
+  Stopped    ///< The task was stopped by command or at the end of its lease.
 };
 
 /// A task that no longer runs. The worker repeats it in each report until it
@@ -35,12 +35,13 @@
 {
   std::string mJob;
   std::uint32_t mAttempt = 0;
-  TaskResult mResult = TaskResult::Ended;
-  std::string mCheckpoint;
-  std::string mReason;
+  TaskResult mResult = TaskResult::Completed;
+  std::string mCheckpoint; ///< The latest one; empty: none.
+  std::string mReason;     ///< Why the task failed.
 };
 
-/// Everything that a worker holds at one moment of its clock.
+/// All tasks and unacknowledged outcomes of a worker at one moment of its
+/// clock.
 struct WorkerReport
 {
   WorkerToken mToken;
--- a/Libraries/LibPlacement/Reports.cpp
+++ b/Libraries/LibPlacement/Reports.cpp
@@ -10,14 +10,15 @@
 
 using namespace placement;
 
+/// @return whether this is the job's current attempt, on its current worker
 bool
 IsCurrent(const Job& aJob, WorkerIndex aWorker, std::uint32_t aAttempt)
 {
   return aJob.mWorker == aWorker && aJob.mRow.mAttempt == aAttempt;
 }
 
-/// Takes note of a task that this owner did not start: one of a predecessor,
-/// or one that should not run any more.
+/// Adds a slot for a reported task that has none. A task of the previous owner
+/// that may go on becomes its job's current attempt; any other one is stopped.
 void
 AdoptTask(Shard& aShard,
           WorkerIndex aWorker,
@@ -26,7 +27,7 @@
           Actions& aActions)
 {
   Job* job = FindJob(aShard, aTask.mJob);
-  const bool adopted = job && job->mPhase == JobPhase::Doubtful &&
+  const bool adopted = job && job->mPhase == JobPhase::Reconciling &&
                        aTask.mAttempt >= job->mRow.mAttempt;
   TaskSlot slot;
   slot.mJob = aTask.mJob;
@@ -48,57 +49,62 @@
   }
 }
 
-/// Lets the reservation follow the use where there is room.
+/// Updates the team's usage model, and raises the task's reservation to its
+/// reported usage as far as the worker has free resources.
 void
-FollowUse(Shard& aShard, Worker& aWorker, TaskSlot& aSlot)
+GrowReservation(Shard& aShard, Worker& aWorker, TaskSlot& aSlot)
 {
   const PlacementPolicy& policy = *aShard.mPolicy;
-  if (!policy.mFollowsUse || !aSlot.mTeam) {
+  if (!policy.mAdjustsReservations || !aSlot.mTeam) {
     return;
   }
-  policy.mLearn(*aSlot.mTeam, aSlot.mClass, aSlot.mDeclared, aSlot.mUsed);
-  const Amount wanted = Largest(aSlot.mReserved, aSlot.mUsed);
-  const Amount more =
-    Smallest(wanted - aSlot.mReserved, Largest(aWorker.mFree, {}));
+  policy.mRecordUsage(*aSlot.mTeam, aSlot.mClass, aSlot.mDeclared, aSlot.mUsed);
+  const ResourceVector wanted = ElementwiseMax(aSlot.mReserved, aSlot.mUsed);
+  const ResourceVector more =
+    ElementwiseMin(wanted - aSlot.mReserved, ElementwiseMax(aWorker.mFree, {}));
   aSlot.mReserved += more;
-  aSlot.mTeam->mUsed += more;
+  aSlot.mTeam->mReserved += more;
   aWorker.mFree -= more;
 }
 
-/// Continues an eviction and repeats commands that had no effect.
+/// Continues the termination of a task that still runs: orders the stop after
+/// the checkpoint or its time-out, and repeats a stop that had no effect.
 void
-ContinueEnding(Shard& aShard,
-               WorkerIndex aWorker,
-               TaskSlot& aSlot,
-               MonotonicTime aNow,
-               Actions& aActions)
+ContinueTermination(Shard& aShard,
+                    WorkerIndex aWorker,
+                    TaskSlot& aSlot,
+                    MonotonicTime aNow,
+                    Actions& aActions)
 {
-  using Ending = TaskSlot::Ending;
+  using Termination = TaskSlot::Termination;
   const PlacementSettings& settings = aShard.mSettings;
-  if (aSlot.mEnding == Ending::Checkpoint) {
-    const bool taken = aSlot.mCheckpoint != aSlot.mOldCheckpoint;
-    if (taken || aNow - aSlot.mEndingSince >= settings.mCheckpointLimit) {
+  if (aSlot.mTermination == Termination::Checkpointing) {
+    const bool checkpointed =
+      aSlot.mCheckpoint != aSlot.mCheckpointWhenRequested;
+    if (checkpointed ||
+        aNow - aSlot.mTerminationSince >= settings.mCheckpointTimeout) {
       StopSlot(aWorker, aSlot, aNow, aActions);
     }
-  } else if (aSlot.mEnding == Ending::Stop &&
-             aNow - aSlot.mCommandAt >= settings.mCommandRepeat) {
+  } else if (aSlot.mTermination == Termination::Stopping &&
+             aNow - aSlot.mLastCommandAt >= settings.mCommandRetryInterval) {
     StopSlot(aWorker, aSlot, aNow, aActions);
   }
 }
 
+/// Handles the report of one running task.
 void
-NoteTask(Shard& aShard,
-         WorkerIndex aWorker,
-         const TaskReport& aTask,
-         MonotonicTime aNow,
-         Actions& aActions)
+HandleTaskReport(Shard& aShard,
+                 WorkerIndex aWorker,
+                 const TaskReport& aTask,
+                 MonotonicTime aNow,
+                 Actions& aActions)
 {
   Worker& worker = aShard.mWorkers[aWorker];
   if (!FindSlot(worker, aTask.mJob, aTask.mAttempt)) {
     AdoptTask(aShard, aWorker, aTask, aNow, aActions);
   }
   TaskSlot& slot = *FindSlot(worker, aTask.mJob, aTask.mAttempt);
-  slot.mSeenIn = worker.mReports;
+  slot.mLastListedInReport = worker.mReportCount;
   slot.mReported = true;
   slot.mUsed = aTask.mUsed;
   slot.mCheckpoint = aTask.mCheckpoint;
@@ -108,10 +114,12 @@
       IsCurrent(*job, aWorker, aTask.mAttempt)) {
     job->mPhase = JobPhase::Running;
   }
-  FollowUse(aShard, worker, slot);
-  ContinueEnding(aShard, aWorker, slot, aNow, aActions);
+  GrowReservation(aShard, worker, slot);
+  ContinueTermination(aShard, aWorker, slot, aNow, aActions);
 }
 
+/// Handles the failure of a job's current attempt: retries the job after a
+/// back-off, or holds it if it has failed on enough different workers.
 void
 HoldOrRetry(Shard& aShard,
             WorkerIndex aWorker,
@@ -120,35 +128,36 @@
             MonotonicTime aNow,
             Actions& aActions)
 {
-  constexpr std::uint32_t kLongestWaitS = 60;
+  constexpr std::uint32_t kMaxRetryDelayS = 60;
   ++aJob.mFailures;
   aJob.mNotBefore =
-    aNow + Seconds(std::min(kLongestWaitS, aJob.mFailures * aJob.mFailures));
+    aNow + Seconds(std::min(kMaxRetryDelayS, aJob.mFailures * aJob.mFailures));
   ++aShard.mCounters.mFailed;
   auto& failedOn = aJob.mFailedOn;
   if (std::find(failedOn.begin(), failedOn.end(), aWorker) == failedOn.end()) {
     failedOn.push_back(aWorker);
   }
-  BlameWorker(aShard, aWorker, aOutcome.mJob, aNow);
-  // A service is never held: it is retried with growing pauses.
+  RecordWorkerFailure(aShard, aWorker, aOutcome.mJob, aNow);
+  // A service is never held; it is retried with a growing back-off.
   const bool held = failedOn.size() >= aShard.mSettings.mFailuresToHold &&
                     aJob.mRow.mSpec.mClass != TaskClass::Service;
   if (!held || aJob.mRow.mCancelRequested) {
-    RecordNextAttempt(aShard, aJob, aActions);
+    CommitNextAttempt(aShard, aJob, aActions);
     return;
   }
   ++aShard.mCounters.mHeld;
   aJob.mRow.mReason = "failed on " + std::to_string(failedOn.size()) +
                       " different workers, last: " + aOutcome.mReason;
-  Record(aShard, aJob, JobPhase::Held, aActions);
+  CommitPhase(aShard, aJob, JobPhase::Held, aActions);
 }
 
-/// The job's work is done, whichever attempt did it.
+/// Completes a job whose work is done, also if an earlier attempt did it. Stops
+/// the current attempt if another one runs.
 void
-EndJob(Shard& aShard, Job& aJob, MonotonicTime aNow, Actions& aActions)
+CompleteJob(Shard& aShard, Job& aJob, MonotonicTime aNow, Actions& aActions)
 {
-  if (aJob.mPhase == JobPhase::Recording &&
-      aJob.mAfterCommit == JobPhase::Ended) {
+  if (aJob.mPhase == JobPhase::Committing &&
+      aJob.mPhaseAfterCommit == JobPhase::Completed) {
     return;
   }
   if (aJob.mWorker) {
@@ -158,16 +167,16 @@
       StopSlot(*aJob.mWorker, *slot, aNow, aActions);
     }
   }
-  ++aShard.mCounters.mEnded;
-  Record(aShard, aJob, JobPhase::Ended, aActions);
+  ++aShard.mCounters.mCompleted;
+  CommitPhase(aShard, aJob, JobPhase::Completed, aActions);
 }
 
-/// Removes the slot of a task that ended, and keeps its latest checkpoint.
+/// Removes the slot of a task that ended, if there is one.
 void
-ReleaseEnded(Shard& aShard,
-             WorkerIndex aWorker,
-             const TaskOutcome& aOutcome,
-             MonotonicTime aNow)
+ReleaseSlot(Shard& aShard,
+            WorkerIndex aWorker,
+            const TaskOutcome& aOutcome,
+            MonotonicTime aNow)
 {
   Worker& worker = aShard.mWorkers[aWorker];
   const TaskSlot* slot = FindSlot(worker, aOutcome.mJob, aOutcome.mAttempt);
@@ -179,10 +188,11 @@
   }
 }
 
+/// Sets the job's checkpoint, unless the task made none.
 void
-KeepCheckpoint(Job& aJob,
-               const std::string& aCheckpoint,
-               std::uint32_t aAttempt)
+StoreCheckpoint(Job& aJob,
+                const std::string& aCheckpoint,
+                std::uint32_t aAttempt)
 {
   if (!aCheckpoint.empty()) {
     aJob.mRow.mCheckpoint = aCheckpoint;
@@ -190,8 +200,8 @@
   }
 }
 
-/// Whether a late outcome of an earlier attempt has a checkpoint that the
-/// waiting job should resume from.
+/// @return whether a late outcome of an earlier attempt has a checkpoint from
+///         which the queued job should resume
 bool
 HasNewerCheckpoint(const Job& aJob, const TaskOutcome& aOutcome)
 {
@@ -201,95 +211,102 @@
          aOutcome.mCheckpoint != aJob.mRow.mCheckpoint;
 }
 
+/// Handles the outcome of a task. It is acknowledged only when the state that
+/// follows from it is committed; until then the worker repeats it.
 void
-NoteOutcome(Shard& aShard,
-            WorkerIndex aWorker,
-            const TaskOutcome& aOutcome,
-            MonotonicTime aNow,
-            Actions& aActions)
+HandleOutcome(Shard& aShard,
+              WorkerIndex aWorker,
+              const TaskOutcome& aOutcome,
+              MonotonicTime aNow,
+              Actions& aActions)
 {
-  ReleaseEnded(aShard, aWorker, aOutcome, aNow);
+  ReleaseSlot(aShard, aWorker, aOutcome, aNow);
   Job* job = FindJob(aShard, aOutcome.mJob);
   const auto acknowledge = [&] {
     aShard.mWorkers[aWorker].mAcknowledge.emplace_back(aOutcome.mJob,
                                                        aOutcome.mAttempt);
   };
   if (!job) {
-    acknowledge(); // Its end is committed.
+    acknowledge(); // The final state of the job is committed.
     return;
   }
-  const bool endsJob = aOutcome.mResult == TaskResult::Ended &&
+  const bool endsJob = aOutcome.mResult == TaskResult::Completed &&
                        job->mRow.mSpec.mClass != TaskClass::Service;
-  if (endsJob && job->mPhase != JobPhase::Moved) {
+  if (endsJob && job->mPhase != JobPhase::Moving) {
     if (IsCurrent(*job, aWorker, aOutcome.mAttempt)) {
       job->mWorker.reset();
     }
-    PraiseWorker(aShard, aWorker);
-    EndJob(aShard, *job, aNow, aActions);
+    RecordWorkerSuccess(aShard, aWorker);
+    CompleteJob(aShard, *job, aNow, aActions);
     return;
   }
   const bool current = IsCurrent(*job, aWorker, aOutcome.mAttempt) ||
-                       (job->mPhase == JobPhase::Doubtful &&
+                       (job->mPhase == JobPhase::Reconciling &&
                         aOutcome.mAttempt >= job->mRow.mAttempt);
   if (!current && HasNewerCheckpoint(*job, aOutcome)) {
-    KeepCheckpoint(*job, aOutcome.mCheckpoint, aOutcome.mAttempt);
-    Record(aShard, *job, JobPhase::Queued, aActions);
+    StoreCheckpoint(*job, aOutcome.mCheckpoint, aOutcome.mAttempt);
+    CommitPhase(aShard, *job, JobPhase::Queued, aActions);
     return;
   }
   if (!current) {
-    // A commit under way may be the one for this outcome, and a doubtful job
-    // may yet need its checkpoint.
-    const bool unsettled = job->mPhase == JobPhase::Recording ||
-                           job->mPhase == JobPhase::Moved ||
-                           job->mPhase == JobPhase::Doubtful;
-    if (!unsettled) {
+    // The commit under way may be the one for this outcome, and a job that is
+    // being moved or reconciled may still need the outcome's checkpoint.
+    const bool mayNeedOutcome = job->mPhase == JobPhase::Committing ||
+                                job->mPhase == JobPhase::Moving ||
+                                job->mPhase == JobPhase::Reconciling;
+    if (!mayNeedOutcome) {
       acknowledge();
     }
     return;
   }
   job->mRow.mAttempt = aOutcome.mAttempt;
-  KeepCheckpoint(*job, aOutcome.mCheckpoint, aOutcome.mAttempt);
+  StoreCheckpoint(*job, aOutcome.mCheckpoint, aOutcome.mAttempt);
   if (aOutcome.mResult == TaskResult::Failed) {
     HoldOrRetry(aShard, aWorker, *job, aOutcome, aNow, aActions);
     return;
   }
-  RecordNextAttempt(aShard, *job, aActions);
+  CommitNextAttempt(aShard, *job, aActions);
 }
 
-/// @return whether the report proves that the slot's task does not run and
-///         can't start any more
+/// @return whether the worker's latest report proves that the slot's task does
+///         not run and can't start any more
 bool
-ProvenGone(const Shard& aShard, const Worker& aWorker, const TaskSlot& aSlot)
+IsProvenStopped(const Shard& aShard,
+                const Worker& aWorker,
+                const TaskSlot& aSlot)
 {
-  if (aSlot.mSeenIn == aWorker.mReports) {
+  if (aSlot.mLastListedInReport == aWorker.mReportCount) {
     return false;
   }
   if (aSlot.mReported || aSlot.mToken.mBoot != aWorker.mToken.mBoot) {
     return true;
   }
   const std::uint64_t clock = aWorker.mToken.mClockMs;
-  // A report of the same millisecond may have been made before the start.
+  // A report of the same millisecond may have been made before the start was
+  // accepted.
   if (aSlot.mAcceptedClockMs && clock > *aSlot.mAcceptedClockMs) {
     return true;
   }
   const auto oldest =
-    static_cast<std::uint64_t>(aShard.mSettings.mOldestToken.count());
+    static_cast<std::uint64_t>(aShard.mSettings.mMaxTokenAge.count());
   return clock > aSlot.mToken.mClockMs + oldest;
 }
 
+/// Handles a task that is known to run no longer but has no reported outcome: a
+/// new attempt is queued from the latest checkpoint reported.
 void
-LoseSlot(Shard& aShard,
-         WorkerIndex aWorker,
-         std::size_t aSlot,
-         MonotonicTime aNow,
-         Actions& aActions)
+HandleLostTask(Shard& aShard,
+               WorkerIndex aWorker,
+               std::size_t aSlot,
+               MonotonicTime aNow,
+               Actions& aActions)
 {
   const TaskSlot& slot = aShard.mWorkers[aWorker].mSlots[aSlot];
   Job* job = FindJob(aShard, slot.mJob);
   if (job && IsCurrent(*job, aWorker, slot.mAttempt)) {
-    KeepCheckpoint(*job, slot.mCheckpoint, slot.mAttempt);
+    StoreCheckpoint(*job, slot.mCheckpoint, slot.mAttempt);
     ++aShard.mCounters.mLost;
-    RecordNextAttempt(aShard, *job, aActions);
+    CommitNextAttempt(aShard, *job, aActions);
   }
   RemoveSlot(aShard, aWorker, aSlot, aNow);
 }
@@ -304,27 +321,27 @@
              Actions& aActions)
 {
   Worker& worker = aShard.mWorkers[aWorker];
-  if (worker.mHeardAt && aReport.mToken < worker.mToken) {
-    return; // Overtaken by a later report.
+  if (worker.mLastReportAt && aReport.mToken < worker.mToken) {
+    return; // A later report has arrived first.
   }
   worker.mToken = aReport.mToken;
-  worker.mHeardAt = aNow;
-  ++worker.mReports;
+  worker.mLastReportAt = aNow;
+  ++worker.mReportCount;
   worker.mAcknowledge.clear();
   for (const TaskOutcome& outcome : aReport.mOutcomes) {
-    NoteOutcome(aShard, aWorker, outcome, aNow, aActions);
+    HandleOutcome(aShard, aWorker, outcome, aNow, aActions);
   }
   double latencyRatio = 0;
   for (const TaskReport& task : aReport.mTasks) {
-    NoteTask(aShard, aWorker, task, aNow, aActions);
+    HandleTaskReport(aShard, aWorker, task, aNow, aActions);
     latencyRatio = std::max(latencyRatio, task.mLatencyRatio);
   }
   for (std::size_t i = worker.mSlots.size(); i-- > 0;) {
-    if (ProvenGone(aShard, worker, worker.mSlots[i])) {
-      LoseSlot(aShard, aWorker, i, aNow, aActions);
+    if (IsProvenStopped(aShard, worker, worker.mSlots[i])) {
+      HandleLostTask(aShard, aWorker, i, aNow, aActions);
     }
   }
-  AnswerInterference(aShard, aWorker, latencyRatio, aNow, aActions);
+  RespondToInterference(aShard, aWorker, latencyRatio, aNow, aActions);
   UpdatePool(aShard, aWorker, aNow);
 }
 
@@ -347,7 +364,7 @@
     return;
   }
   if (std::holds_alternative<StartUnknown>(aAnswer)) {
-    return; // A later report settles it.
+    return; // A later report shows whether the task runs.
   }
   ++aShard.mCounters.mRejectedStarts;
   RemoveSlot(aShard,
@@ -359,55 +376,59 @@
     return;
   }
   if (job->mRow.mCancelRequested) {
-    Record(aShard, *job, JobPhase::Cancelled, aActions);
+    CommitPhase(aShard, *job, JobPhase::Cancelled, aActions);
     return;
   }
-  Enqueue(aShard, *job); // It never ran: the attempt is not used up.
+  // The task never ran, so its attempt number can be used again.
+  Enqueue(aShard, *job);
 }
 
 namespace {
 
+/// Gives up all tasks of a worker that has not reported for a lease term.
 void
-LoseSilentWorker(Shard& aShard,
-                 WorkerIndex aWorker,
-                 MonotonicTime aNow,
-                 Actions& aActions)
+HandleSilentWorker(Shard& aShard,
+                   WorkerIndex aWorker,
+                   MonotonicTime aNow,
+                   Actions& aActions)
 {
   const Worker& worker = aShard.mWorkers[aWorker];
   const PlacementSettings& settings = aShard.mSettings;
-  if (!worker.mHeardAt ||
-      aNow - *worker.mHeardAt <= settings.mTaskLease + settings.mLeaseMargin) {
+  if (!worker.mLastReportAt || aNow - *worker.mLastReportAt <=
+                                 settings.mTaskLease + settings.mLeaseMargin) {
     return;
   }
-  // Every lease was counted from a token that is no younger than the latest
-  // one, so no task of this worker runs any more.
+  // Each lease began at the latest token or an earlier one, so the leases of
+  // all tasks on this worker have ended.
   while (!worker.mSlots.empty()) {
-    LoseSlot(aShard, aWorker, worker.mSlots.size() - 1, aNow, aActions);
+    HandleLostTask(aShard, aWorker, worker.mSlots.size() - 1, aNow, aActions);
   }
 }
 
+/// After a takeover, queues the jobs that were found on no worker, when every
+/// worker has reported or all leases of the previous owner have ended.
 void
-ResolveDoubts(Shard& aShard, MonotonicTime aNow, Actions& aActions)
+ReconcileJobs(Shard& aShard, MonotonicTime aNow, Actions& aActions)
 {
   const PlacementSettings& settings = aShard.mSettings;
-  const bool lapsed =
-    aNow - aShard.mTakenAt > settings.mTaskLease + settings.mLeaseMargin;
-  const bool allHeard =
+  const bool leasesExpired =
+    aNow - aShard.mTakenOverAt > settings.mTaskLease + settings.mLeaseMargin;
+  const bool allReported =
     std::all_of(aShard.mWorkers.begin(),
                 aShard.mWorkers.end(),
-                [](const Worker& aWorker) { return aWorker.mHeardAt; });
-  if (!lapsed && !allHeard) {
+                [](const Worker& aWorker) { return aWorker.mLastReportAt; });
+  if (!leasesExpired && !allReported) {
     return;
   }
-  aShard.mResolved = true;
+  aShard.mReconciled = true;
   for (const auto& [name, job] : aShard.mJobs) {
-    if (job->mPhase != JobPhase::Doubtful) {
+    if (job->mPhase != JobPhase::Reconciling) {
       continue;
     }
-    if (!allHeard || job->mRow.mCancelRequested) {
-      // A worker that was not heard from may return with an outcome of this
-      // attempt, so it is used up.
-      RecordNextAttempt(aShard, *job, aActions);
+    if (!allReported || job->mRow.mCancelRequested) {
+      // A worker that has not reported may still report an outcome of this
+      // attempt, so its number must not be used again.
+      CommitNextAttempt(aShard, *job, aActions);
     } else {
       Enqueue(aShard, *job);
     }
@@ -426,12 +447,12 @@
       worker.mOnProbation = true;
     }
     if (!worker.mSlots.empty()) {
-      LoseSilentWorker(aShard, i, aNow, aActions);
+      HandleSilentWorker(aShard, i, aNow, aActions);
     }
     UpdatePool(aShard, i, aNow);
   }
-  if (!aShard.mResolved) {
-    ResolveDoubts(aShard, aNow, aActions);
+  if (!aShard.mReconciled) {
+    ReconcileJobs(aShard, aNow, aActions);
   }
   Evacuate(aShard, aNow, aActions);
 }
--- a/Libraries/LibPlacement/UsageModel.cpp
+++ b/Libraries/LibPlacement/UsageModel.cpp
@@ -7,15 +7,19 @@
 
 namespace {
 
-constexpr double kLargerSide = std::max(kUsageQuantile, 1 - kUsageQuantile);
-constexpr double kStepUp = kLargestUsageStep * kUsageQuantile / kLargerSide;
+/// The greater weight of the two directions, which scales the larger step to
+/// kMaxUsageStepRatio.
+constexpr double kLargerWeight = std::max(kUsageQuantile, 1 - kUsageQuantile);
+constexpr double kStepUp = kMaxUsageStepRatio * kUsageQuantile / kLargerWeight;
 constexpr double kStepDown =
-  kLargestUsageStep * (1 - kUsageQuantile) / kLargerSide;
+  kMaxUsageStepRatio * (1 - kUsageQuantile) / kLargerWeight;
 
-/// A quantile estimate is in balance when the up steps of the few reports
-/// above it equal the down steps of the many below it.
+/// Moves a quantile estimate by one report. The sizes of the steps up and down
+/// are chosen so that they cancel out when the estimate is at the quantile: at
+/// a high quantile, few large steps up equal many small steps down.
+/// @return the new estimate
 double
-Moved(double aEstimate, std::int64_t aDeclared, std::int64_t aUsed)
+UpdatedEstimate(double aEstimate, std::int64_t aDeclared, std::int64_t aUsed)
 {
   if (aDeclared <= 0) {
     return aEstimate;
@@ -28,6 +32,7 @@
   return std::max(sample, aEstimate * (1 - kStepDown));
 }
 
+/// @return the product, rounded up
 std::int64_t
 Scaled(std::int64_t aDeclared, double aFactor)
 {
@@ -38,18 +43,21 @@
 } // namespace
 
 void
-Learn(UsageModel& aModel, const Amount& aDeclared, const Amount& aUsed)
+UpdateUsageModel(UsageModel& aModel,
+                 const ResourceVector& aDeclared,
+                 const ResourceVector& aUsed)
 {
-  aModel.mCores =
-    Moved(aModel.mCores, aDeclared.mMilliCores, aUsed.mMilliCores);
-  aModel.mMemory = Moved(aModel.mMemory, aDeclared.mMemoryMb, aUsed.mMemoryMb);
+  aModel.mCoresRatio = UpdatedEstimate(
+    aModel.mCoresRatio, aDeclared.mMilliCores, aUsed.mMilliCores);
+  aModel.mMemoryRatio =
+    UpdatedEstimate(aModel.mMemoryRatio, aDeclared.mMemoryMb, aUsed.mMemoryMb);
 }
 
-Amount
-Expected(const UsageModel& aModel, const Amount& aDeclared)
+ResourceVector
+ExpectedUsage(const UsageModel& aModel, const ResourceVector& aDeclared)
 {
-  return { Scaled(aDeclared.mMilliCores, aModel.mCores),
-           Scaled(aDeclared.mMemoryMb, aModel.mMemory),
+  return { Scaled(aDeclared.mMilliCores, aModel.mCoresRatio),
+           Scaled(aDeclared.mMemoryMb, aModel.mMemoryRatio),
            aDeclared.mAccelerators };
 }
 
--- a/Libraries/LibPlacement/UsageModel.h
+++ b/Libraries/LibPlacement/UsageModel.h
@@ -1,33 +1,37 @@
 #pragma once
 
-#include <LibPlacement/Amount.h>
+#include <LibPlacement/ResourceVector.h>
 
 namespace paddle {
 
-/// Learned use of one team's tasks of one class, as a multiple of what they
-/// declare: a quantile that follows the reports and forgets old ones.
+/// Estimated usage of one team's tasks of one class, as a multiple of what they
+/// declare: a running quantile of the reported usage, in which old reports
+/// count less and less.
 struct UsageModel
 {
-  double mCores = 1;
-  double mMemory = 1;
+  double mCoresRatio = 1;
+  double mMemoryRatio = 1;
 };
 
-/// The share of reports that should lie below the estimate. The median,
-/// because a reservation grows with its task's own use: at 0.95, declarations
-/// that were off by up to five times either way reserved five times too much
-/// and cut batch throughput to half of the baseline's.
+/// The quantile that is estimated: the share of reports below the estimate. The
+/// median is enough, because a reservation also grows with its own task's
+/// usage. With 0.95 and declarations that are wrong by a factor of up to five
+/// either way, reservations are five times too large, and batch throughput
+/// falls to half of that of the first-fit policy.
 inline constexpr double kUsageQuantile = 0.5;
 
-/// One report moves an estimate by at most this share of it, so a single
-/// wrong measurement can't block a worker or overload it.
-inline constexpr double kLargestUsageStep = 0.25;
+/// The largest change of an estimate by one report, relative to the estimate.
+/// It keeps a single wrong measurement from blocking or overloading a worker.
+inline constexpr double kMaxUsageStepRatio = 0.25;
 
-/// Moves the estimate towards one report.
+/// Moves the estimate towards the usage in one report.
 void
-Learn(UsageModel& aModel, const Amount& aDeclared, const Amount& aUsed);
+UpdateUsageModel(UsageModel& aModel,
+                 const ResourceVector& aDeclared,
+                 const ResourceVector& aUsed);
 
-/// @return what a task that declares @p aDeclared is expected to use
-Amount
-Expected(const UsageModel& aModel, const Amount& aDeclared);
+/// @return the usage that is expected of a task that declares @p aDeclared
+ResourceVector
+ExpectedUsage(const UsageModel& aModel, const ResourceVector& aDeclared);
 
 } // namespace paddle
--- a/Libraries/LibPlacement/Workers.cpp
+++ b/Libraries/LibPlacement/Workers.cpp
@@ -9,38 +9,41 @@
 
 namespace {
 
+/// @return whether new tasks may be placed on the worker, by its own state
 bool
 TakesTasks(const Shard& aShard, const Worker& aWorker, MonotonicTime aNow)
 {
-  if (aWorker.mSpec.mLeaving || !aWorker.mHeardAt ||
+  if (aWorker.mSpec.mLeaving || !aWorker.mLastReportAt ||
       aWorker.mQuarantinedUntil) {
     return false;
   }
-  if (aNow - *aWorker.mHeardAt > aShard.mSettings.mOldestTokenToSend) {
+  if (aNow - *aWorker.mLastReportAt > aShard.mSettings.mMaxTokenAgeToSend) {
     return false;
   }
   if (aWorker.mOnProbation && !aWorker.mSlots.empty()) {
     return false;
   }
-  return aWorker.mStep == InterferenceStep::None;
+  return aWorker.mInterferenceStep == InterferenceStep::None;
 }
 
+/// @return the index of the data centre, which is added if it is not known yet
 std::uint32_t
-GateOf(Shard& aShard, const std::string& aName)
+FindOrAddDataCentre(Shard& aShard, const std::string& aName)
 {
   for (std::uint32_t i = 0; i < aShard.mDataCentres.size(); ++i) {
     if (aShard.mDataCentres[i].mName == aName) {
       return i;
     }
   }
-  DataCentreGate gate;
-  gate.mName = aName;
-  aShard.mDataCentres.push_back(gate);
+  DataCentreStatus dataCentre;
+  dataCentre.mName = aName;
+  aShard.mDataCentres.push_back(dataCentre);
   return static_cast<std::uint32_t>(aShard.mDataCentres.size() - 1);
 }
 
+/// @return the index of the pool, which is added if it does not exist yet
 std::uint32_t
-PoolOf(Shard& aShard, std::uint32_t aDataCentre, bool aAccelerators)
+FindOrAddPool(Shard& aShard, std::uint32_t aDataCentre, bool aAccelerators)
 {
   for (std::uint32_t i = 0; i < aShard.mPools.size(); ++i) {
     const Pool& pool = aShard.mPools[i];
@@ -64,7 +67,7 @@
   if (wanted && worker.mPoolKey == key) {
     return;
   }
-  auto& pool = aShard.mPools[worker.mPool].mByFree;
+  auto& pool = aShard.mPools[worker.mPool].mWorkersByFreeMilliCores;
   if (worker.mPoolKey) {
     pool.erase({ *worker.mPoolKey, aWorker });
     worker.mPoolKey.reset();
@@ -81,7 +84,7 @@
   Worker& worker = aShard.mWorkers[aWorker];
   worker.mFree -= aSlot.mReserved;
   if (aSlot.mTeam) {
-    aSlot.mTeam->mUsed += aSlot.mReserved;
+    aSlot.mTeam->mReserved += aSlot.mReserved;
   }
   worker.mSlots.push_back(std::move(aSlot));
   UpdatePool(aShard, aWorker, aNow);
@@ -98,7 +101,7 @@
   TaskSlot& slot = worker.mSlots[aSlot];
   worker.mFree += slot.mReserved;
   if (slot.mTeam) {
-    slot.mTeam->mUsed -= slot.mReserved;
+    slot.mTeam->mReserved -= slot.mReserved;
   }
   if (aSlot + 1 != worker.mSlots.size()) {
     slot = std::move(worker.mSlots.back());
@@ -134,12 +137,12 @@
   Worker worker;
   worker.mSpec = aSpec;
   worker.mFree = aSpec.mCapacity;
-  worker.mDataCentre = GateOf(aShard, aSpec.mDataCentre);
-  worker.mPool =
-    PoolOf(aShard, worker.mDataCentre, aSpec.mCapacity.mAccelerators > 0);
+  worker.mDataCentre = FindOrAddDataCentre(aShard, aSpec.mDataCentre);
+  worker.mPool = FindOrAddPool(
+    aShard, worker.mDataCentre, aSpec.mCapacity.mAccelerators > 0);
   Pool& pool = aShard.mPools[worker.mPool];
-  pool.mLargestCores =
-    std::max(pool.mLargestCores, aSpec.mCapacity.mMilliCores);
+  pool.mLargestWorkerMilliCores =
+    std::max(pool.mLargestWorkerMilliCores, aSpec.mCapacity.mMilliCores);
   aShard.mDataCentres[worker.mDataCentre].mCapacity += aSpec.mCapacity;
   aShard.mCapacity += aSpec.mCapacity;
   aShard.mWorkers.push_back(std::move(worker));
@@ -154,41 +157,41 @@
               MonotonicTime aSentAt,
               MonotonicTime aNow)
 {
-  for (DataCentreGate& gate : aShard.mDataCentres) {
-    if (gate.mName != aName) {
+  for (DataCentreStatus& dataCentre : aShard.mDataCentres) {
+    if (dataCentre.mName != aName) {
       continue;
     }
-    if (gate.mProvenAt && *gate.mProvenAt > aSentAt) {
-      return; // An older read than the one already known.
+    if (dataCentre.mConfirmedAt && *dataCentre.mConfirmedAt > aSentAt) {
+      return; // The latest read known was sent after this one.
     }
-    if (gate.mProvenAt && !gate.mInService && aInService) {
-      gate.mReturnedAt = aNow;
-      gate.mStartedSinceReturn = 0;
+    if (dataCentre.mConfirmedAt && !dataCentre.mInService && aInService) {
+      dataCentre.mReturnedAt = aNow;
+      dataCentre.mMilliCoresStartedSinceReturn = 0;
     }
-    gate.mInService = aInService;
-    gate.mProvenAt = aSentAt;
+    dataCentre.mInService = aInService;
+    dataCentre.mConfirmedAt = aSentAt;
   }
 }
 
 bool
-GateOpen(const Shard& aShard,
-         const DataCentreGate& aGate,
-         const Amount& aReserve,
-         MonotonicTime aNow)
+AllowsStart(const Shard& aShard,
+            const DataCentreStatus& aDataCentre,
+            const ResourceVector& aReservation,
+            MonotonicTime aNow)
 {
-  if (!aGate.mInService || !aGate.mProvenAt ||
-      aNow - *aGate.mProvenAt > aShard.mSettings.mOldestProof) {
+  if (!aDataCentre.mInService || !aDataCentre.mConfirmedAt ||
+      aNow - *aDataCentre.mConfirmedAt > aShard.mSettings.mMaxConfirmationAge) {
     return false;
   }
-  if (!aGate.mReturnedAt) {
+  if (!aDataCentre.mReturnedAt) {
     return true;
   }
-  const std::chrono::duration<double> since = aNow - *aGate.mReturnedAt;
-  const double share = since.count() * aShard.mSettings.mRampPerSecond;
+  const std::chrono::duration<double> since = aNow - *aDataCentre.mReturnedAt;
+  const double share = since.count() * aShard.mSettings.mRampSharePerSecond;
   return share >= 1 ||
-         static_cast<double>(aGate.mStartedSinceReturn +
-                             aReserve.mMilliCores) <=
-           share * static_cast<double>(aGate.mCapacity.mMilliCores);
+         static_cast<double>(aDataCentre.mMilliCoresStartedSinceReturn +
+                             aReservation.mMilliCores) <=
+           share * static_cast<double>(aDataCentre.mCapacity.mMilliCores);
 }
 
 PollPlan
@@ -200,9 +203,9 @@
   plan.mAcknowledge = worker.mAcknowledge;
   plan.mRenew.reserve(worker.mSlots.size());
   for (const TaskSlot& slot : worker.mSlots) {
-    // A task that must stop is not renewed, so that it ends even if the stop
-    // never arrives.
-    if (slot.mEnding != TaskSlot::Ending::Stop) {
+    // The lease of a task that is being stopped isn't renewed, so that the task
+    // ends even if the stop never arrives.
+    if (slot.mTermination != TaskSlot::Termination::Stopping) {
       plan.mRenew.emplace_back(slot.mJob, slot.mAttempt);
     }
   }
--- a/Libraries/LibScheduler/Committer.cpp
+++ b/Libraries/LibScheduler/Committer.cpp
@@ -35,7 +35,7 @@
   aTransaction.mWrites.push_back(
     { JobKey(aItem.mShard, job),
       terminal ? std::nullopt : std::optional<std::string>(JobRowText(row)) });
-  if (terminal || aItem.mCommit.mFirst) {
+  if (terminal || aItem.mCommit.mMustNotExist) {
     const char* state = terminal ? PhaseName(row.mPhase) : "accepted";
     aTransaction.mWrites.push_back(
       { JobIdKey(job),
@@ -200,7 +200,7 @@
   transaction.mConditions.push_back(
     { "shard/" + first.mShard, *ValueOf(fence) });
   for (const CommitItem& item : aGroup) {
-    if (item.mCommit.mFirst) {
+    if (item.mCommit.mMustNotExist) {
       const std::string key = JobIdKey(item.mCommit.mRow.mSpec.mJob);
       const auto replaceable = mReplaceable.find(key);
       transaction.mConditions.push_back(
@@ -237,7 +237,7 @@
   for (CommitItem& item : aGroup) {
     const std::string key = JobIdKey(item.mCommit.mRow.mSpec.mJob);
     const TableRow* row =
-      item.mCommit.mFirst ? FindRow(aConflict, key) : nullptr;
+      item.mCommit.mMustNotExist ? FindRow(aConflict, key) : nullptr;
     if (!row) {
       left.push_back(std::move(item));
       continue;
--- a/Libraries/LibScheduler/Directory.cpp
+++ b/Libraries/LibScheduler/Directory.cpp
@@ -19,10 +19,11 @@
 bool
 CouldHoldOne(const WorkerShard& aShard, const JobSpec& aSpec)
 {
-  return std::any_of(
-    aShard.mWorkers.begin(),
-    aShard.mWorkers.end(),
-    [&](const WorkerHost& aWorker) { return CouldHold(aWorker.mSpec, aSpec); });
+  return std::any_of(aShard.mWorkers.begin(),
+                     aShard.mWorkers.end(),
+                     [&](const WorkerHost& aWorker) {
+                       return CouldEverRun(aWorker.mSpec, aSpec);
+                     });
 }
 
 } // namespace
@@ -186,7 +187,7 @@
   if (!shards) {
     return std::nullopt;
   }
-  return WhyNeverHeld(AllWorkers(*shards), aSpec);
+  return WhyUnplaceable(AllWorkers(*shards), aSpec);
 }
 
 } // namespace paddle
--- a/Libraries/LibScheduler/Directory.h
+++ b/Libraries/LibScheduler/Directory.h
@@ -42,7 +42,7 @@
 private:
   struct Room
   {
-    Amount mLargestFree;
+    ResourceVector mLargestFree;
     std::uint64_t mQueued = 0;
     bool mLoaded = false;
   };
--- a/Libraries/LibScheduler/JobRows.cpp
+++ b/Libraries/LibScheduler/JobRows.cpp
@@ -70,7 +70,7 @@
 PhaseName(JobPhase aPhase)
 {
   switch (aPhase) {
-    case JobPhase::Doubtful:
+    case JobPhase::Reconciling:
       return "doubtful";
     case JobPhase::Queued:
       return "queued";
@@ -80,15 +80,15 @@
       return "running";
     case JobPhase::Evicting:
       return "evicting";
-    case JobPhase::Recording:
+    case JobPhase::Committing:
       return "recording";
-    case JobPhase::Ended:
+    case JobPhase::Completed:
       return "ended";
     case JobPhase::Cancelled:
       return "cancelled";
     case JobPhase::Held:
       return "held";
-    case JobPhase::Moved:
+    case JobPhase::Moving:
       break;
   }
   return "moving";
--- a/Libraries/LibScheduler/PlacementThread.cpp
+++ b/Libraries/LibScheduler/PlacementThread.cpp
@@ -210,10 +210,10 @@
   // This process may itself have started tasks under this epoch before.
   const bool again = mSeenEpochs[aShard] == aOwnership.mEpoch;
   mSeenEpochs[aShard] = aOwnership.mEpoch;
-  const History history =
+  const PriorOwner history =
     aOwnership.mAcquisition == Acquisition::FirstOwner && !again
-      ? History::None
-      : History::Possible;
+      ? PriorOwner::None
+      : PriorOwner::Possible;
   owned->mCore = MakeShard({}, mPolicy, history, aNow);
   owned->mNextLoad = aNow;
   FollowHosts(*owned);
@@ -452,7 +452,7 @@
     return;
   }
   owned->mWaiters.emplace(aEvent.mSpec.mJob,
-                          Waiter{ job.mCommit, aEvent.mReply });
+                          Waiter{ job.mLatestCommit, aEvent.mReply });
   Execute(*owned, std::move(actions));
 }
 
@@ -490,7 +490,8 @@
                     " is being accepted or moved; repeat the call" });
     return;
   }
-  owned->mWaiters.emplace(aEvent.mJob, Waiter{ job->mCommit, aEvent.mReply });
+  owned->mWaiters.emplace(aEvent.mJob,
+                          Waiter{ job->mLatestCommit, aEvent.mReply });
   Execute(*owned, std::move(actions));
 }
 
@@ -642,16 +643,16 @@
     shard["loaded"] = owned->mLoaded;
     shard["jobs"] = Json::UInt64(core.mJobs.size());
     shard["queued"] = Json::UInt64(core.mQueued);
-    Amount free;
-    Amount largest;
+    ResourceVector free;
+    ResourceVector largest;
     std::uint64_t heard = 0;
     std::uint64_t tasks = 0;
     for (const Worker& worker : core.mWorkers) {
-      heard += worker.mHeardAt ? 1 : 0;
+      heard += worker.mLastReportAt ? 1 : 0;
       tasks += worker.mSlots.size();
       const bool open =
         worker.mPoolKey &&
-        GateOpen(core, core.mDataCentres[worker.mDataCentre], {}, Now());
+        AllowsStart(core, core.mDataCentres[worker.mDataCentre], {}, Now());
       if (open) {
         free += worker.mFree;
         shard["dataCentre"] = worker.mSpec.mDataCentre;
@@ -665,7 +666,7 @@
     shard["free"] = ToJson(free);
     shard["largestFree"] = ToJson(largest);
     shard["capacity"] = ToJson(core.mCapacity);
-    shard["ended"] = Json::UInt64(core.mCounters.mEnded);
+    shard["ended"] = Json::UInt64(core.mCounters.mCompleted);
     shard["evictions"] = Json::UInt64(core.mCounters.mEvictions);
     shard["lost"] = Json::UInt64(core.mCounters.mLost);
     shard["failed"] = Json::UInt64(core.mCounters.mFailed);
--- a/Libraries/LibScheduler/SchedulerEvent.h
+++ b/Libraries/LibScheduler/SchedulerEvent.h
@@ -109,7 +109,7 @@
   {
     std::string mShard;
     std::string mDataCentre;
-    Amount mLargestFree;
+    ResourceVector mLargestFree;
     std::uint64_t mQueued = 0;
   };
   std::vector<Room> mRooms;
--- a/Libraries/LibScheduler/ServiceTaskList.cpp
+++ b/Libraries/LibScheduler/ServiceTaskList.cpp
@@ -27,7 +27,7 @@
     const bool could = std::any_of(shard.mWorkers.begin(),
                                    shard.mWorkers.end(),
                                    [&](const WorkerHost& aWorker) {
-                                     return CouldHold(aWorker.mSpec, aSpec);
+                                     return CouldEverRun(aWorker.mSpec, aSpec);
                                    });
     if (!could || !InService(aConfiguration, shard.mSpec.mDataCentre)) {
       continue;
--- a/Libraries/LibScheduler/WorkerJson.cpp
+++ b/Libraries/LibScheduler/WorkerJson.cpp
@@ -49,7 +49,7 @@
   outcome.mJob = aOutcome["job"].asString();
   outcome.mAttempt = aOutcome["attempt"].asUInt();
   const std::string result = aOutcome["result"].asString();
-  outcome.mResult = result == "ended"    ? TaskResult::Ended
+  outcome.mResult = result == "ended"    ? TaskResult::Completed
                     : result == "failed" ? TaskResult::Failed
                                          : TaskResult::Stopped;
   outcome.mCheckpoint = aOutcome["checkpoint"].asString();
@@ -60,7 +60,7 @@
 } // namespace
 
 Json::Value
-ToJson(const Amount& aAmount)
+ToJson(const ResourceVector& aAmount)
 {
   Json::Value amount(Json::objectValue);
   amount["milliCores"] = Json::Int64(aAmount.mMilliCores);
@@ -69,7 +69,7 @@
   return amount;
 }
 
-Amount
+ResourceVector
 AmountFromJson(const Json::Value& aAmount)
 {
   return { aAmount["milliCores"].asInt64(),
--- a/Libraries/LibScheduler/WorkerJson.h
+++ b/Libraries/LibScheduler/WorkerJson.h
@@ -15,9 +15,9 @@
 // worker.checkpoint and worker.throttle.
 
 Json::Value
-ToJson(const Amount& aAmount);
+ToJson(const ResourceVector& aAmount);
 
-Amount
+ResourceVector
 AmountFromJson(const Json::Value& aAmount);
 
 /// @return parameters of worker.report
--- a/Libraries/LibScheduler/WorkerShards.cpp
+++ b/Libraries/LibScheduler/WorkerShards.cpp
@@ -54,7 +54,7 @@
   return shards;
 }
 
-Amount
+ResourceVector
 ToAmount(const Resources& aResources)
 {
   return { static_cast<std::int64_t>(std::ceil(aResources.mCores * 1000)),
--- a/Libraries/LibScheduler/WorkerShards.h
+++ b/Libraries/LibScheduler/WorkerShards.h
@@ -34,7 +34,7 @@
 WorkerShards
 DivideWorkers(const std::vector<HostEntry>& aHosts);
 
-Amount
+ResourceVector
 ToAmount(const Resources& aResources);
 
 JobSpec
--- a/Tests/Bench/Cluster.cpp
+++ b/Tests/Bench/Cluster.cpp
@@ -26,7 +26,7 @@
 }
 
 double
-CoreShare(const Amount& aAmount)
+CoreShare(const ResourceVector& aAmount)
 {
   return static_cast<double>(aAmount.mMilliCores) / 1000;
 }
@@ -40,7 +40,7 @@
   : mDeployment(aDeployment)
   , mScenario(aScenario)
   , mJobs(aJobs)
-  , mShard(MakeShard(PlacementSettings{}, aPolicy, History::None, kEpoch))
+  , mShard(MakeShard(PlacementSettings{}, aPolicy, PriorOwner::None, kEpoch))
   , mMachines(aDeployment.mWorkers)
   , mRunnerMachine(aDeployment.mRunners)
   , mBusy(aDeployment.mRunners)
@@ -57,7 +57,7 @@
       i % (mMachines.size() / (aScenario.mBadWorkers + 1)) == 1 &&
       aScenario.mBadWorkers > 0;
   }
-  const Amount quota{
+  const ResourceVector quota{
     aDeployment.mCores * 1000 * static_cast<std::int64_t>(aDeployment.mWorkers),
     aDeployment.mMemoryMb * static_cast<std::int64_t>(aDeployment.mWorkers),
     0
@@ -137,14 +137,14 @@
   Execute(std::move(actions));
 }
 
-Amount
+ResourceVector
 Cluster::UseOf(const Task& aTask) const
 {
   if (aTask.mRunner) {
     const double busy = 0.1 + 0.9 * mBusy[*aTask.mRunner];
     return { static_cast<std::int64_t>(kRunnerMilliCores * busy), 8000, 0 };
   }
-  Amount use = aTask.mJob->mUse;
+  ResourceVector use = aTask.mJob->mUse;
   if (aTask.mThrottled) {
     use.mMilliCores = static_cast<std::int64_t>(
       static_cast<double>(use.mMilliCores) * kThrottledSpeed);
@@ -197,16 +197,16 @@
   aMachine.mTasks.erase(aMachine.mTasks.begin() +
                         static_cast<std::ptrdiff_t>(aTask));
   TaskOutcome outcome{ task.mName, task.mAttempt, aResult, "", "exit 1" };
-  if (aResult != TaskResult::Ended && task.mSavedS > 0) {
+  if (aResult != TaskResult::Completed && task.mSavedS > 0) {
     outcome.mCheckpoint = "checkpoint/" + task.mName;
     mSavedS[task.mName] = task.mSavedS;
   }
   if (task.mJob) {
     // Progress after the latest checkpoint is lost unless the job ended.
     const double lost =
-      aResult == TaskResult::Ended ? 0 : task.mDoneS - task.mSavedS;
+      aResult == TaskResult::Completed ? 0 : task.mDoneS - task.mSavedS;
     CountProgress(-lost * CoreShare(task.mJob->mUse));
-    mResult.mFinished += aResult == TaskResult::Ended ? 1 : 0;
+    mResult.mFinished += aResult == TaskResult::Completed ? 1 : 0;
   }
   if (task.mRunner) {
     mRunnerMachine[*task.mRunner].reset();
@@ -235,7 +235,7 @@
     task.mDoneS += progress;
     CountProgress(progress * CoreShare(task.mJob->mUse));
     if (task.mDoneS >= task.mJob->mWorkS) {
-      Finish(machine, i, TaskResult::Ended);
+      Finish(machine, i, TaskResult::Completed);
     }
   }
 }
@@ -315,11 +315,13 @@
 Cluster::Perform(const StartTask& aStart, Actions& aMore)
 {
   Machine& machine = mMachines[aStart.mWorker];
-  Amount reserved = aStart.mReserved;
+  ResourceVector reserved = aStart.mReserved;
   for (const Task& task : machine.mTasks) {
     reserved += task.mReserved;
   }
-  const Amount capacity{ mDeployment.mCores * 1000, mDeployment.mMemoryMb, 0 };
+  const ResourceVector capacity{ mDeployment.mCores * 1000,
+                                 mDeployment.mMemoryMb,
+                                 0 };
   mResult.mOvercommitted += Fits(reserved, capacity) ? 0 : 1;
   mResult.mDoubled += mRunningOn.contains(aStart.mJob) ? 1 : 0;
   const bool late = !DataCentreIn(aStart.mWorker) &&
--- a/Tests/Bench/Cluster.h
+++ b/Tests/Bench/Cluster.h
@@ -73,7 +73,7 @@
     double mSavedS = 0;
     bool mThrottled = false;
     std::optional<std::size_t> mRunner;
-    Amount mReserved;
+    ResourceVector mReserved;
   };
   struct Machine
   {
@@ -92,7 +92,7 @@
   void RunTasks(std::size_t aMachine);
   void Measure(std::size_t aMachine);
   double CoresForBatch(const Machine& aMachine) const;
-  Amount UseOf(const Task& aTask) const;
+  ResourceVector UseOf(const Task& aTask) const;
   std::vector<TaskReport> ReportOf(const Machine& aMachine) const;
   void PollWorker(std::size_t aMachine);
   void Execute(Actions aActions);
--- a/Tests/Bench/Workload.h
+++ b/Tests/Bench/Workload.h
@@ -15,9 +15,9 @@
 struct BenchJob
 {
   JobSpec mSpec;
-  Amount mUse;       ///< True use while it runs.
-  double mWorkS = 0; ///< True run time without interference.
-  double mNoise = 0; ///< Share of its cores that disturbs its neighbours.
+  ResourceVector mUse; ///< True use while it runs.
+  double mWorkS = 0;   ///< True run time without interference.
+  double mNoise = 0;   ///< Share of its cores that disturbs its neighbours.
   double mArrivesS = 0;
   bool mCancelled = false; ///< Part of the cancellation wave.
 };
--- a/Tests/LibPlacement/Measure/MeasurePlacement.cpp
+++ b/Tests/LibPlacement/Measure/MeasurePlacement.cpp
@@ -1,5 +1,5 @@
-// Fills a shard with running tasks and measures how many placements one
-// thread makes per second while tasks end and others take their place.
+// Fills a shard with running tasks, and measures how many placements per second
+// one thread makes while tasks end and new jobs replace them.
 
 #include <chrono>
 #include <cstdio>
@@ -15,49 +15,52 @@
 
 namespace {
 
-constexpr std::size_t kTasksPerWorker = 27; // 17,000 tasks on 640 workers.
+constexpr std::size_t kTasksPerWorker = 27; // About 17,000 on 640 workers.
 constexpr std::size_t kTeams = 110;
 
+/// A shard under load.
 struct Bench
 {
   std::mt19937_64 mRandom{ 1 };
   PlacementPolicy mPolicy;
   Shard mShard;
   MonotonicTime mNow{ Seconds(1000) };
-  std::uint64_t mJobs = 0;
+  std::uint64_t mNextNumber = 0; ///< For the names of jobs and worker clocks.
 
   explicit Bench(const std::string& aPolicy)
     : mPolicy(ValueOf(Registry<PlacementPolicy>::Instance().Find(aPolicy)))
-    , mShard(MakeShard({}, mPolicy, History::None, mNow))
+    , mShard(MakeShard({}, mPolicy, PriorOwner::None, mNow))
   {
   }
 
   void AddWorkers(std::size_t aCount)
   {
     for (std::size_t i = 0; i < aCount; ++i) {
-      const Amount capacity{ 32000, 125000, i % 8 == 0 ? 8 : 0 };
+      const ResourceVector capacity{ 32000, 125000, i % 8 == 0 ? 8 : 0 };
       SetWorker(
         mShard,
         { "worker-" + std::to_string(i), "dc", "rack", capacity, false });
     }
     for (WorkerIndex i = 0; i < aCount; ++i) {
-      Hear(i);
+      ReportIdle(i);
     }
     SetDataCentre(mShard, "dc", true, mNow, mNow);
   }
 
-  void Hear(WorkerIndex aWorker)
+  /// Delivers a report of a worker that runs no task.
+  void ReportIdle(WorkerIndex aWorker)
   {
     Actions actions;
     WorkerReport report;
-    report.mToken = { 1, ++mJobs };
+    report.mToken = { 1, ++mNextNumber };
     HandleReport(mShard, aWorker, report, mNow, actions);
   }
 
+  /// Adds a queued job of random size, team and class.
   void AddJob()
   {
     JobSpec spec;
-    spec.mJob = "job-" + std::to_string(mJobs++);
+    spec.mJob = "job-" + std::to_string(mNextNumber++);
     spec.mTeam = "team-" + std::to_string(mRandom() % kTeams);
     spec.mClass = mRandom() % 10 == 0 ? TaskClass::Urgent : TaskClass::Batch;
     spec.mDeclared = { static_cast<std::int64_t>(500 + mRandom() % 1000),
@@ -68,7 +71,8 @@
     AdoptJob(mShard, row, mNow);
   }
 
-  /// Ends a random task by a report of its worker, which lists the others.
+  /// Delivers a report of a random worker in which one task has completed and
+  /// the others run, and commits what follows. Does nothing if it runs no task.
   void EndOne()
   {
     const auto index =
@@ -78,7 +82,7 @@
       return;
     }
     WorkerReport report;
-    report.mToken = { 1, ++mJobs };
+    report.mToken = { 1, ++mNextNumber };
     for (std::size_t i = 1; i < worker.mSlots.size(); ++i) {
       const TaskSlot& slot = worker.mSlots[i];
       TaskReport task;
@@ -92,7 +96,7 @@
     }
     const TaskSlot& ended = worker.mSlots[0];
     report.mOutcomes.push_back(
-      { ended.mJob, ended.mAttempt, TaskResult::Ended, "", "" });
+      { ended.mJob, ended.mAttempt, TaskResult::Completed, "", "" });
     Actions actions;
     HandleReport(mShard, index, report, mNow, actions);
     for (const Action& action : actions) {
@@ -105,6 +109,7 @@
   }
 };
 
+/// Measures one policy with a number of workers and prints the results.
 void
 Run(const std::string& aPolicy, std::size_t aWorkers)
 {
@@ -118,22 +123,22 @@
   PlaceQueued(bench.mShard, bench.mNow, aWorkers * kTasksPerWorker, actions);
   const std::size_t running = bench.mShard.mCounters.mStarts;
   constexpr std::size_t kRounds = 200;
-  constexpr std::size_t kBatch = 100;
+  constexpr std::size_t kJobsPerRound = 100;
   std::size_t placed = 0;
   Clock::duration placing{ 0 };
   Clock::duration reporting{ 0 };
   for (std::size_t round = 0; round < kRounds; ++round) {
     const auto reported = Clock::now();
-    for (std::size_t i = 0; i < kBatch; ++i) {
+    for (std::size_t i = 0; i < kJobsPerRound; ++i) {
       bench.EndOne();
     }
     reporting += Clock::now() - reported;
-    for (std::size_t i = 0; i < kBatch; ++i) {
+    for (std::size_t i = 0; i < kJobsPerRound; ++i) {
       bench.AddJob();
     }
     actions.clear();
     const auto begun = Clock::now();
-    placed += PlaceQueued(bench.mShard, bench.mNow, kBatch, actions);
+    placed += PlaceQueued(bench.mShard, bench.mNow, kJobsPerRound, actions);
     placing += Clock::now() - begun;
   }
   const double placingUs =
@@ -149,7 +154,7 @@
               placed,
               placingUs / static_cast<double>(placed),
               1e6 * static_cast<double>(placed) / placingUs,
-              reportingUs / (kRounds * kBatch));
+              reportingUs / (kRounds * kJobsPerRound));
 }
 
 } // namespace
--- a/Tests/LibPlacement/Model.cpp
+++ b/Tests/LibPlacement/Model.cpp
@@ -8,13 +8,17 @@
 
 namespace {
 
-constexpr std::uint64_t kStepMs = 100;
+constexpr std::uint64_t kStepMs = 100; // Interval of ticks and placements.
 constexpr std::uint64_t kPollMs = 500;
-constexpr std::uint64_t kTimeoutMs = 1000;
+// A report that takes longer than this from its request is dropped.
+constexpr std::uint64_t kPollTimeoutMs = 1000;
+// The defaults of PlacementSettings::mTaskLease and mMaxTokenAge.
 constexpr std::uint64_t kLeaseMs = 10000;
-constexpr std::uint64_t kOldestTokenMs = 2000;
-constexpr std::uint64_t kOutGraceMs = 3000;
+constexpr std::uint64_t kMaxTokenAgeMs = 2000;
+// How long after a data centre goes out of service starts may still arrive.
+constexpr std::uint64_t kOutOfServiceGraceMs = 3000;
 
+/// @return the name of a checkpoint, from which ProgressOf() reads the progress
 std::string
 CheckpointName(const std::string& aJob, std::uint64_t aProgressMs)
 {
@@ -48,7 +52,7 @@
     worker.mClockOffsetMs = Random(1000000);
     mWorkers.push_back(worker);
   }
-  TakeOver(History::None);
+  TakeOver(PriorOwner::None);
 }
 
 MonotonicTime
@@ -69,32 +73,32 @@
   return Random(100) < aPercent;
 }
 
-/// Mostly a few milliseconds; during faults sometimes seconds.
+/// @return the delay of a message: up to 20 ms, with faults sometimes up to 6 s
 std::uint64_t
-Model::Delay()
+Model::RandomDelayMs()
 {
-  return Faulty() && Chance(5) ? Random(6000) : 1 + Random(20);
+  return FaultsEnabled() && Chance(5) ? Random(6000) : 1 + Random(20);
 }
 
 void
-Model::At(std::uint64_t aMs, std::function<void()> aDo)
+Model::ScheduleAt(std::uint64_t aMs, std::function<void()> aEvent)
 {
-  mEvents.emplace(aMs, std::move(aDo));
+  mEvents.emplace(aMs, std::move(aEvent));
 }
 
 void
-Model::Fail(const std::string& aWhat)
+Model::AddViolation(const std::string& aWhat)
 {
   mViolations.push_back("at " + std::to_string(mNowMs) + " ms: " + aWhat);
 }
 
-/// A new owner starts from the rows of the table. Commands of the previous
-/// one may still be on their way.
+/// The new owner loads the rows of the table. Commands of the previous owner
+/// may still arrive.
 void
-Model::TakeOver(History aHistory)
+Model::TakeOver(PriorOwner aPriorOwner)
 {
   ++mEpoch;
-  mShard = MakeShard({}, mPolicy, aHistory, Now());
+  mShard = MakeShard({}, mPolicy, aPriorOwner, Now());
   for (const ModelWorker& worker : mWorkers) {
     SetWorker(mShard, worker.mSpec);
   }
@@ -120,7 +124,7 @@
                      static_cast<std::int64_t>(500 + Random(20000)),
                      0 };
   spec.mExpectedTime = Seconds(1 + Random(30));
-  mWork[spec.mJob] = 500 + Random(20000);
+  mRunTimeMs[spec.mJob] = 500 + Random(20000);
   Actions actions;
   AcceptJob(mShard, spec, Now(), actions);
   Execute(actions);
@@ -141,7 +145,7 @@
     mNowMs = until;
     Step();
     const bool idle =
-      !Faulty() && mSubmitted == mSettings.mJobs && mShard.mJobs.empty();
+      !FaultsEnabled() && mSubmitted == mSettings.mJobs && mShard.mJobs.empty();
     if (idle) {
       break;
     }
@@ -155,14 +159,14 @@
   if (mSubmitted < mSettings.mJobs && Chance(20)) {
     Submit();
   }
-  if (Faulty()) {
+  if (FaultsEnabled()) {
     InjectFaults();
   } else {
     mOutSinceMs.clear();
     for (ModelWorker& worker : mWorkers) {
       worker.mFailsAll = false;
     }
-    // Services never end by themselves.
+    // Services run until they are cancelled, so the run ends only if they are.
     for (const auto& [name, row] : mTable) {
       if (!row.mDone && row.mRow.mSpec.mClass == TaskClass::Service &&
           !row.mRow.mCancelRequested) {
@@ -196,7 +200,7 @@
       worker.mSilentUntilMs = mNowMs + Random(25000);
       break;
     case 1:
-      Advance(worker);
+      EndDueTasks(worker);
       ++worker.mBoot;
       worker.mTasks.clear();
       worker.mOutcomes.clear();
@@ -218,7 +222,7 @@
     case 6:
       ++mTakeovers;
       mEvictions += mShard.mCounters.mEvictions;
-      TakeOver(History::Possible);
+      TakeOver(PriorOwner::Possible);
       break;
     case 7:
     case 8: {
@@ -239,11 +243,12 @@
 Model::PollWorkers()
 {
   for (WorkerIndex i = 0; i < mWorkers.size(); ++i) {
-    if (Faulty() && Chance(5)) {
-      continue; // Lost on the way.
+    if (FaultsEnabled() && Chance(5)) {
+      continue; // The request is lost.
     }
     const Poll poll{ mEpoch, PlanPoll(mShard, i), mNowMs };
-    At(mNowMs + Delay(), [this, i, poll] { ReceivePoll(i, poll); });
+    ScheduleAt(mNowMs + RandomDelayMs(),
+               [this, i, poll] { ReceivePoll(i, poll); });
   }
 }
 
@@ -259,16 +264,16 @@
 Model::Perform(const StartTask& aStart)
 {
   const std::uint64_t epoch = mEpoch;
-  const bool lost = Faulty() && Chance(5);
+  const bool lost = FaultsEnabled() && Chance(5);
   if (lost) {
     return;
   }
-  At(mNowMs + Delay(), [this, epoch, aStart] {
+  ScheduleAt(mNowMs + RandomDelayMs(), [this, epoch, aStart] {
     const StartAnswer answer = ReceiveStart(aStart.mWorker, epoch, aStart);
-    if (Faulty() && Chance(10)) {
+    if (FaultsEnabled() && Chance(10)) {
       return; // The answer is lost.
     }
-    At(mNowMs + Delay(), [this, epoch, aStart, answer] {
+    ScheduleAt(mNowMs + RandomDelayMs(), [this, epoch, aStart, answer] {
       if (epoch != mEpoch) {
         return;
       }
@@ -289,20 +294,21 @@
 Model::Perform(const StopTask& aStop)
 {
   const std::uint64_t epoch = mEpoch;
-  At(mNowMs + Delay(), [this, epoch, aStop] {
+  ScheduleAt(mNowMs + RandomDelayMs(), [this, epoch, aStop] {
     ModelWorker& worker = mWorkers[aStop.mWorker];
-    if (!ReceiveEpoch(worker, epoch)) {
+    if (!AcceptEpoch(worker, epoch)) {
       return;
     }
     std::erase_if(worker.mTasks, [&](const ModelTask& aTask) {
       if (aTask.mJob != aStop.mJob || aTask.mAttempt != aStop.mAttempt) {
         return false;
       }
-      worker.mOutcomes.push_back({ aTask.mJob,
-                                   aTask.mAttempt,
-                                   TaskResult::Stopped,
-                                   CheckpointName(aTask.mJob, aTask.mSavedMs),
-                                   "" });
+      worker.mOutcomes.push_back(
+        { aTask.mJob,
+          aTask.mAttempt,
+          TaskResult::Stopped,
+          CheckpointName(aTask.mJob, aTask.mCheckpointedMs),
+          "" });
       return true;
     });
   });
@@ -312,14 +318,14 @@
 Model::Perform(const CheckpointTask& aCheckpoint)
 {
   const std::uint64_t epoch = mEpoch;
-  At(mNowMs + Delay(), [this, epoch, aCheckpoint] {
+  ScheduleAt(mNowMs + RandomDelayMs(), [this, epoch, aCheckpoint] {
     ModelWorker& worker = mWorkers[aCheckpoint.mWorker];
-    if (!ReceiveEpoch(worker, epoch)) {
+    if (!AcceptEpoch(worker, epoch)) {
       return;
     }
     for (ModelTask& task : worker.mTasks) {
       if (task.mJob == aCheckpoint.mJob) {
-        task.mSavedMs = task.mProgressMs;
+        task.mCheckpointedMs = task.mProgressMs;
       }
     }
   });
@@ -329,10 +335,10 @@
 Model::Perform(const CommitRow& aCommit)
 {
   const std::uint64_t epoch = mEpoch;
-  // One thread commits, so commits take effect in order.
+  // Commits take effect in order, as one thread of the owner makes them.
   mLastCommitMs =
     std::max({ mNowMs, mTableDownUntilMs, mLastCommitMs }) + 1 + Random(20);
-  At(mLastCommitMs, [this, epoch, aCommit] { Commit(epoch, aCommit); });
+  ScheduleAt(mLastCommitMs, [this, epoch, aCommit] { Commit(epoch, aCommit); });
 }
 
 /// The table refuses commits of a process that no longer owns the shard.
@@ -344,8 +350,8 @@
   }
   const std::string& name = aCommit.mRow.mSpec.mJob;
   mTable[name] = { aCommit.mRow, IsTerminal(aCommit.mRow.mPhase) };
-  const bool answered = !(Faulty() && Chance(2));
-  At(mNowMs + (answered ? 1 : 1500), [this, aEpoch, name, aCommit] {
+  const bool answered = !(FaultsEnabled() && Chance(2));
+  ScheduleAt(mNowMs + (answered ? 1 : 1500), [this, aEpoch, name, aCommit] {
     if (aEpoch != mEpoch) {
       return;
     }
@@ -361,22 +367,21 @@
   return mNowMs + aWorker.mClockOffsetMs;
 }
 
-/// Ends tasks whose lease or work has ended.
 void
-Model::Advance(ModelWorker& aWorker)
+Model::EndDueTasks(ModelWorker& aWorker)
 {
   const std::uint64_t clock = ClockOf(aWorker);
   std::erase_if(aWorker.mTasks, [&](ModelTask& aTask) {
     TaskOutcome outcome{
-      aTask.mJob, aTask.mAttempt, TaskResult::Ended, "", ""
+      aTask.mJob, aTask.mAttempt, TaskResult::Completed, "", ""
     };
     if (aTask.mLeaseEndMs <= clock) {
       outcome.mResult = TaskResult::Stopped;
-      outcome.mCheckpoint = CheckpointName(aTask.mJob, aTask.mSavedMs);
+      outcome.mCheckpoint = CheckpointName(aTask.mJob, aTask.mCheckpointedMs);
     } else if (aTask.mFails) {
       outcome.mResult = TaskResult::Failed;
       outcome.mReason = "exit code 1";
-    } else if (aTask.mProgressMs < mWork[aTask.mJob]) {
+    } else if (aTask.mProgressMs < mRunTimeMs[aTask.mJob]) {
       return false;
     }
     aWorker.mOutcomes.push_back(outcome);
@@ -385,13 +390,13 @@
 }
 
 bool
-Model::ReceiveEpoch(ModelWorker& aWorker, std::uint64_t aEpoch)
+Model::AcceptEpoch(ModelWorker& aWorker, std::uint64_t aEpoch)
 {
   if (mNowMs < aWorker.mSilentUntilMs || aEpoch < aWorker.mEpoch) {
     return false;
   }
   aWorker.mEpoch = aEpoch;
-  Advance(aWorker);
+  EndDueTasks(aWorker);
   return true;
 }
 
@@ -404,11 +409,11 @@
   if (mNowMs < worker.mSilentUntilMs) {
     return StartUnknown{};
   }
-  if (!ReceiveEpoch(worker, aEpoch)) {
+  if (!AcceptEpoch(worker, aEpoch)) {
     return StartRejected{ "older epoch" };
   }
   if (aStart.mToken.mBoot != worker.mBoot ||
-      aStart.mToken.mClockMs + kOldestTokenMs < ClockOf(worker)) {
+      aStart.mToken.mClockMs + kMaxTokenAgeMs < ClockOf(worker)) {
     return StartRejected{ "old token" };
   }
   CheckStart(aWorker, aEpoch, aStart);
@@ -419,10 +424,10 @@
   task.mReserved = aStart.mReserved;
   task.mLeaseEndMs = aStart.mToken.mClockMs + kLeaseMs;
   task.mProgressMs = ProgressOf(aStart.mCheckpoint);
-  task.mSavedMs = task.mProgressMs;
+  task.mCheckpointedMs = task.mProgressMs;
   task.mFails = worker.mFailsAll;
   worker.mTasks.push_back(task);
-  mLatest[aStart.mJob] = { aWorker, aStart.mAttempt };
+  mLatestStart[aStart.mJob] = { aWorker, aStart.mAttempt };
   ++mStarts;
   return StartAccepted{ ClockOf(worker) };
 }
@@ -432,14 +437,15 @@
                   std::uint64_t aEpoch,
                   const StartTask& aStart)
 {
-  Amount used = aStart.mReserved;
+  ResourceVector used = aStart.mReserved;
   for (WorkerIndex i = 0; i < mWorkers.size(); ++i) {
     ModelWorker& worker = mWorkers[i];
-    Advance(worker);
+    EndDueTasks(worker);
     for (const ModelTask& task : worker.mTasks) {
       if (task.mJob == aStart.mJob) {
-        Fail(aStart.mJob + " runs in two places: " + worker.mSpec.mName +
-             " and " + mWorkers[aWorker].mSpec.mName);
+        AddViolation(aStart.mJob +
+                     " runs in two places: " + worker.mSpec.mName + " and " +
+                     mWorkers[aWorker].mSpec.mName);
       }
       if (i == aWorker) {
         used += task.mReserved;
@@ -448,20 +454,21 @@
   }
   const ModelWorker& worker = mWorkers[aWorker];
   if (!Fits(used, worker.mSpec.mCapacity)) {
-    Fail(worker.mSpec.mName + " is committed beyond its capacity");
+    AddViolation(worker.mSpec.mName + " is committed beyond its capacity");
   }
   if (mFinished.count(aStart.mJob) != 0) {
-    Fail(aStart.mJob + " starts after its end was acknowledged");
+    AddViolation(aStart.mJob + " starts after its end was acknowledged");
   }
   if (!mStarted.insert({ aStart.mJob, { aEpoch, aStart.mAttempt } }).second) {
-    Fail(aStart.mJob + " starts twice with one attempt");
+    AddViolation(aStart.mJob + " starts twice with one attempt");
   }
-  if (ProgressOf(aStart.mCheckpoint) < mSaved[aStart.mJob]) {
-    Fail(aStart.mJob + " resumes from an old checkpoint");
+  if (ProgressOf(aStart.mCheckpoint) < mSavedProgressMs[aStart.mJob]) {
+    AddViolation(aStart.mJob + " resumes from an old checkpoint");
   }
   const auto out = mOutSinceMs.find(worker.mSpec.mDataCentre);
-  if (out != mOutSinceMs.end() && mNowMs > out->second + kOutGraceMs) {
-    Fail(aStart.mJob + " starts in a data centre that is out of service");
+  if (out != mOutSinceMs.end() && mNowMs > out->second + kOutOfServiceGraceMs) {
+    AddViolation(aStart.mJob +
+                 " starts in a data centre that is out of service");
   }
 }
 
@@ -469,7 +476,7 @@
 Model::ReceivePoll(WorkerIndex aWorker, const Poll& aPoll)
 {
   ModelWorker& worker = mWorkers[aWorker];
-  if (!ReceiveEpoch(worker, aPoll.mEpoch)) {
+  if (!AcceptEpoch(worker, aPoll.mEpoch)) {
     return;
   }
   for (const auto& [name, attempt] : aPoll.mPlan.mRenew) {
@@ -488,24 +495,26 @@
       if (aOutcome.mJob != name || aOutcome.mAttempt != attempt) {
         return false;
       }
-      // A service is started again when it ends.
-      if (aOutcome.mResult == TaskResult::Ended &&
+      // A service is never finished: it is started again when it completes.
+      if (aOutcome.mResult == TaskResult::Completed &&
           mTable[name].mRow.mSpec.mClass != TaskClass::Service) {
         mFinished.insert(name);
       }
-      // Once a later attempt runs, what an earlier one saved is too late.
-      if (mLatest[name] == std::pair(aWorker, attempt)) {
-        mSaved[name] = std::max(mSaved[name], ProgressOf(aOutcome.mCheckpoint));
+      // A checkpoint of an earlier attempt is no longer expected to be used
+      // once a later attempt has started.
+      if (mLatestStart[name] == std::pair(aWorker, attempt)) {
+        mSavedProgressMs[name] =
+          std::max(mSavedProgressMs[name], ProgressOf(aOutcome.mCheckpoint));
       }
       return true;
     });
   }
   const WorkerReport report = MakeReport(worker);
-  if (Faulty() && Chance(5)) {
+  if (FaultsEnabled() && Chance(5)) {
     return;
   }
-  At(mNowMs + Delay(), [this, aWorker, aPoll, report] {
-    if (aPoll.mEpoch != mEpoch || mNowMs > aPoll.mSentMs + kTimeoutMs) {
+  ScheduleAt(mNowMs + RandomDelayMs(), [this, aWorker, aPoll, report] {
+    if (aPoll.mEpoch != mEpoch || mNowMs > aPoll.mSentMs + kPollTimeoutMs) {
       return;
     }
     Actions actions;
@@ -529,8 +538,8 @@
     shown.mUsed = task.mReserved;
     shown.mUsed.mMilliCores = shown.mUsed.mMilliCores *
                               static_cast<std::int64_t>(50 + Random(80)) / 100;
-    shown.mCheckpoint = CheckpointName(task.mJob, task.mSavedMs);
-    shown.mSinceCheckpoint = Millis(task.mProgressMs - task.mSavedMs);
+    shown.mCheckpoint = CheckpointName(task.mJob, task.mCheckpointedMs);
+    shown.mSinceCheckpoint = Millis(task.mProgressMs - task.mCheckpointedMs);
     report.mTasks.push_back(shown);
   }
   return report;
@@ -542,8 +551,9 @@
   for (const auto& [name, row] : mTable) {
     if (!row.mDone && mViolations.empty()) {
       const Job* job = FindJob(mShard, name);
-      Fail(name + " did not finish: " +
-           (job ? ExplainJob(mShard, *job, Now()) : "unknown to its owner"));
+      AddViolation(
+        name + " did not finish: " +
+        (job ? ExplainJob(mShard, *job, Now()) : "unknown to its owner"));
     }
   }
   mEvictions += mShard.mCounters.mEvictions;
--- a/Tests/LibPlacement/TestFaults.cpp
+++ b/Tests/LibPlacement/TestFaults.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-constexpr std::uint64_t kSeeds = 240;
+constexpr std::uint64_t kSeeds = 240; ///< Number of simulations per policy.
 
+/// Runs the simulation with each seed and fails on the first violation.
 void
 RunSeeds(const std::string& aPolicy)
 {
@@ -32,7 +33,7 @@
     evictions += model.Evictions();
     takeovers += model.Takeovers();
   }
-  // Without these the seeds would prove nothing.
+  // The runs prove little unless starts, evictions and takeovers occurred.
   CHECK_TRUE(starts > kSeeds * 60);
   CHECK_TRUE(evictions > kSeeds);
   CHECK_TRUE(takeovers > kSeeds);
@@ -42,15 +43,17 @@
 
 TEST_GROUP(Faults){};
 
-// Guards against a task in two places, a worker beyond its capacity, lost
-// checkpoints and jobs that never finish, under silent, rebooting and failing
-// workers, lost and late messages, takeovers, cancellations, store outages
-// and data centres that leave and return.
+// Guards against a task that runs in two places, a worker that is committed
+// beyond its capacity, lost checkpoints, and jobs that never finish. The faults
+// are silent, rebooting and failing workers, lost and late messages, takeovers,
+// cancellations, outages of the table, and data centres that go out of service
+// and return.
 TEST(Faults, LearnedPolicyKeepsGuarantees)
 {
   RunSeeds("learned");
 }
 
+// Guards against the same violations with the other policy.
 TEST(Faults, FirstFitPolicyKeepsGuarantees)
 {
   RunSeeds("first-fit");
