--- a/Libraries/LibPlacement/Evictions.cpp
+++ b/Libraries/LibPlacement/Evictions.cpp
@@ -98,8 +98,7 @@
   double mLostCoreSeconds = 0;
 };
 
-/// @return the evictions after which @p aNeeded fits on the worker, or nothing
-/// if
+/// @return the evictions after which @p aNeeded fits on the worker; nothing if
 ///         it would not fit
 std::optional<PreemptionPlan>
 PlanPreemption(Worker& aWorker,
@@ -190,6 +189,7 @@
 void
 ReserveWorkerForStarvedJob(Shard& aShard, Job& aJob, MonotonicTime aNow)
 {
+  // The tasks that run on the worker are not evicted, so they need time to end.
   constexpr Seconds kStarvedJobReservation{ 600 };
   if ((aJob.mWorkerReservedUntil && *aJob.mWorkerReservedUntil > aNow) ||
       aShard.mNextReservationAt > aNow) {
--- a/Libraries/LibPlacement/Health.cpp
+++ b/Libraries/LibPlacement/Health.cpp
@@ -82,8 +82,7 @@
   }
 }
 
-/// @return the larger of the latency ratio and of the used share of the
-/// capacity;
+/// @return the larger of the latency ratio and the used share of the capacity;
 ///         above 1, a service misses its target or the worker is overloaded
 double
 Pressure(const Worker& aWorker, double aLatencyRatio)
--- a/Libraries/LibPlacement/Shard.h
+++ b/Libraries/LibPlacement/Shard.h
@@ -24,7 +24,7 @@
 
 struct PlacementPolicy;
 
-/// Tunable limits of a shard.
+/// Time limits and thresholds of a shard.
 struct PlacementSettings
 {
   /// Term of a task's lease, from the token that the start or renewal carries.
@@ -89,6 +89,7 @@
   bool mAccelerators = false;
   /// Capacity of the largest worker that was ever assigned to the pool.
   std::int64_t mLargestWorkerMilliCores = 0;
+  /// Worker::mPoolKey and index of each worker.
   std::set<std::pair<std::int64_t, WorkerIndex>> mWorkersByFreeMilliCores;
 };
 
@@ -102,6 +103,7 @@
   }
 };
 
+/// A hash map with string keys.
 template<typename T>
 using TextMap = std::unordered_map<std::string, T, TextHash, std::equal_to<>>;
 
@@ -326,9 +328,8 @@
 std::optional<std::string>
 WhyUnplaceable(const std::vector<WorkerSpec>& aWorkers, const JobSpec& aJob);
 
-/// @return the resources to reserve for the job on this worker: @p
-/// aReservation,
-///         limited to the worker's capacity but not below what the job declares
+/// @return @p aReservation, limited to the worker's capacity but not below what
+///         the job declares: the resources to reserve on this worker
 ResourceVector
 ReservationOn(const Worker& aWorker,
               const Job& aJob,
@@ -344,10 +345,9 @@
          const ResourceVector& aReservation,
          MonotonicTime aNow);
 
-/// @return whether a start of this size is allowed in the data centre now: it
-/// is
-///         known to be in service, and the start is within the ramp after a
-///         return to service
+/// @return whether a start of this size is allowed in the data centre now. It
+///         must be known to be in service, and the start must be within the
+///         ramp after a return to service.
 bool
 AllowsStart(const Shard& aShard,
             const DataCentreStatus& aDataCentre,
--- a/Tests/LibPlacement/Model.cpp
+++ b/Tests/LibPlacement/Model.cpp
@@ -335,7 +335,7 @@
 Model::Perform(const CommitRow& aCommit)
 {
   const std::uint64_t epoch = mEpoch;
-  // Commits take effect in order, as one thread of the owner makes them.
+  // One thread of the owner commits, so commits take effect in order.
   mLastCommitMs =
     std::max({ mNowMs, mTableDownUntilMs, mLastCommitMs }) + 1 + Random(20);
   ScheduleAt(mLastCommitMs, [this, epoch, aCommit] { Commit(epoch, aCommit); });
--- a/Tests/LibPlacement/Model.h
+++ b/Tests/LibPlacement/Model.h
@@ -151,7 +151,7 @@
   std::set<std::pair<std::string, std::pair<std::uint64_t, std::uint32_t>>>
     mStarted;
   std::map<std::string, std::uint64_t>
-    mOutSinceMs; ///< Data centres out of service.
+    mOutSinceMs; ///< When each data centre went out of service.
   std::multimap<std::uint64_t, std::function<void()>> mEvents;
   std::uint64_t mTableDownUntilMs = 0;
   std::uint64_t mLastCommitMs = 0;
