--- a/Libraries/LibGateway/GatewayMessage.cpp
+++ b/Libraries/LibGateway/GatewayMessage.cpp
@@ -46,13 +46,13 @@
 
 /// A refusal that a repeat in a moment may avoid is 429, others are 503.
 unsigned
-StatusOf(Rule aRule)
+StatusOf(RoutingRule aRule)
 {
   switch (aRule) {
-    case Rule::WatchShare:
-    case Rule::QueueFull:
-    case Rule::DeadlineTooShort:
-    case Rule::DeadlinePassed:
+    case RoutingRule::WatchShare:
+    case RoutingRule::QueueFull:
+    case RoutingRule::DeadlineTooShort:
+    case RoutingRule::DeadlinePassed:
       return 429;
     default:
       return 503;
@@ -107,7 +107,7 @@
 RequestEnd
 MakeEnd(const Explanation& aExplanation)
 {
-  const Rule rule = aExplanation.mRule;
+  const RoutingRule rule = aExplanation.mRule;
   RequestEnd end =
     aExplanation.mKind == DecisionKind::Unknown
       ? MakeUnknown("", TextOf(rule))
--- a/Libraries/LibGateway/Mailbox.h
+++ b/Libraries/LibGateway/Mailbox.h
@@ -17,7 +17,7 @@
   Endpoint mRunner;
   std::string mShard;
   std::uint64_t mEpoch = 0;
-  MonotonicTime mTryEnds{};
+  MonotonicTime mTryDeadline{};
 };
 
 /// Forward the request to this peer.
--- a/Libraries/LibGateway/PeerExchange.cpp
+++ b/Libraries/LibGateway/PeerExchange.cpp
@@ -102,7 +102,8 @@
     const Json::Value& figures = aSummary["services"][service];
     report.mServices.emplace_back(
       service,
-      PeerFree{ figures["slots"].asUInt(), figures["watchSlots"].asUInt() });
+      PeerFreeSlots{ figures["slots"].asUInt(),
+                     figures["watchSlots"].asUInt() });
   }
   mRouting.Post(std::move(report));
 }
--- a/Libraries/LibGateway/RequestPath.cpp
+++ b/Libraries/LibGateway/RequestPath.cpp
@@ -264,13 +264,13 @@
   switch (end.mResult) {
     case TryResult::Answered:
       return { RequestOutcome::Answered, std::move(end.mReply), {} };
-    case TryResult::PeerNotRun:
+    case TryResult::RefusedByPeer:
       return { RequestOutcome::Refused, std::move(end.mReply), {} };
     case TryResult::NotSent:
-    case TryResult::Withheld:
+    case TryResult::ShardNotOwned:
       return MakeRefusal(
         503, rule::kNoOwner, "the owner of the key can't be reached");
-    case TryResult::Broken:
+    case TryResult::NoValidAnswer:
     case TryResult::TimedOut:
       return MakeUnknown("key-owner-silent",
                          "the owner of the key gave no answer: " + end.mWhy);
@@ -300,7 +300,7 @@
     case KeyDecision::Wait:
       return MakeUnknown("key-running",
                          "a request with this key is still running");
-    case KeyDecision::AnswerTooOld:
+    case KeyDecision::AnswerTooLarge:
       return MakeUnknown("answer-too-large",
                          "a request with this key has run; its answer was too "
                          "large to store");
@@ -400,7 +400,7 @@
   Try result;
   // A process that was paused since the slot was assigned may have lost it.
   const auto owned = mPorts.mOwns(aCommand.mShard);
-  const Millis left = LeftUntil(aCommand.mTryEnds);
+  const Millis left = LeftUntil(aCommand.mTryDeadline);
   if (!owned || owned->mEpoch != aCommand.mEpoch || left == Millis(0)) {
     return result;
   }
@@ -411,14 +411,15 @@
     const HttpFailure& failure = ErrorOf(reply);
     result.mWhy = ToText(aCommand.mRunner) + ": " + failure.mMessage;
     result.mResult = failure.mTimedOut ? TryResult::TimedOut
-                     : failure.mState == SendState::NotSent ? TryResult::NotSent
-                                                            : TryResult::Broken;
+                     : failure.mState == SendState::NotSent
+                       ? TryResult::NotSent
+                       : TryResult::NoValidAnswer;
     return result;
   }
   result.mReply = std::move(ValueOf(reply));
   const bool own = IsOwnAnswer(
     result.mReply, aRequest.mToRunner.mMethod, aRequest.mId, result.mWhy);
-  result.mResult = own ? TryResult::Answered : TryResult::Broken;
+  result.mResult = own ? TryResult::Answered : TryResult::NoValidAnswer;
   return result;
 }
 
@@ -441,14 +442,15 @@
   if (!Succeeded(reply)) {
     const HttpFailure& failure = ErrorOf(reply);
     result.mWhy = ToText(aPeer) + ": " + failure.mMessage;
-    result.mResult = failure.mState == SendState::NotSent ? TryResult::NotSent
-                                                          : TryResult::Broken;
+    result.mResult = failure.mState == SendState::NotSent
+                       ? TryResult::NotSent
+                       : TryResult::NoValidAnswer;
     return result;
   }
   result.mReply = std::move(ValueOf(reply));
   if (!IsOwnAnswer(
         result.mReply, forwarded.mMethod, aRequest.mId, result.mWhy)) {
-    result.mResult = TryResult::Broken;
+    result.mResult = TryResult::NoValidAnswer;
     return result;
   }
   switch (OutcomeOf(result.mReply)) {
@@ -456,10 +458,10 @@
       result.mResult = TryResult::Answered;
       break;
     case RequestOutcome::Refused:
-      result.mResult = TryResult::PeerNotRun;
+      result.mResult = TryResult::RefusedByPeer;
       break;
     case RequestOutcome::Unknown:
-      result.mResult = TryResult::Broken;
+      result.mResult = TryResult::NoValidAnswer;
       result.mWhy = ToText(aPeer) + " reports an unknown end";
       break;
   }
--- a/Libraries/LibGateway/RequestPath.h
+++ b/Libraries/LibGateway/RequestPath.h
@@ -68,7 +68,7 @@
   /// One try as a runner or a peer ended it.
   struct Try
   {
-    TryResult mResult = TryResult::Withheld;
+    TryResult mResult = TryResult::ShardNotOwned;
     HttpReply mReply;
     std::string mWhy;
   };
--- a/Libraries/LibGateway/RequestRecord.cpp
+++ b/Libraries/LibGateway/RequestRecord.cpp
@@ -12,57 +12,57 @@
 };
 
 RuleText
-Describe(Rule aRule)
+Describe(RoutingRule aRule)
 {
   switch (aRule) {
-    case Rule::FreeSlot:
+    case RoutingRule::FreeSlot:
       return { rule::kFreeSlot, "a runner had a free slot", "nothing" };
-    case Rule::ForwardedToPeer:
+    case RoutingRule::ForwardedToPeer:
       return { rule::kForwardedToPeer,
                "this gateway's runners were full and a peer had free slots",
                "a free slot at this gateway's runners" };
-    case Rule::WaitsForSlot:
+    case RoutingRule::WaitsForSlot:
       return { rule::kWaitsForSlot,
                "all slots are in use; requests are served in the order of "
                "their arrival",
                "a free slot at any gateway" };
-    case Rule::Retried:
+    case RoutingRule::Retried:
       return { rule::kRetried,
                "a try failed and the request may be tried again",
                "a runner that answers the first try" };
-    case Rule::NoRunner:
+    case RoutingRule::NoRunner:
       return { rule::kNoRunner,
                "no runner of the service can take requests now",
                "a live runner whose owner is known" };
-    case Rule::WatchShare:
+    case RoutingRule::WatchShare:
       return { rule::kWatchShare,
                "the slots that watches may hold are in use",
                "the end of another watch" };
-    case Rule::QueueFull:
+    case RoutingRule::QueueFull:
       return { rule::kQueueFull,
                "too many requests wait already",
                "fewer waiting requests" };
-    case Rule::DeadlineTooShort:
+    case RoutingRule::DeadlineTooShort:
       return { rule::kDeadlineTooShort,
                "waiting and service are expected to exceed the deadline",
                "a longer deadline or fewer waiting requests" };
-    case Rule::DeadlinePassed:
+    case RoutingRule::DeadlinePassed:
       return { rule::kDeadlinePassed,
                "the deadline passed before an answer was possible",
                "a longer deadline or a free slot earlier" };
-    case Rule::RetryBudgetSpent:
+    case RoutingRule::RetryBudgetSpent:
       return { rule::kRetryBudgetSpent,
                "retries have reached their share of recent requests",
                "fewer failing requests in the last minutes" };
-    case Rule::TriesSpent:
+    case RoutingRule::TriesSpent:
       return { rule::kTriesSpent,
                "all allowed tries failed",
                "a runner that can be reached" };
-    case Rule::NotRepeatable:
+    case RoutingRule::NotRepeatable:
       return { rule::kNotRepeatable,
                "the request may have run and must not run twice",
                "an idempotent route" };
-    case Rule::ShardMoved:
+    case RoutingRule::ShardMoved:
       return { rule::kShardMoved,
                "the owner of the runners is changing",
                "a repeat in a moment" };
@@ -96,13 +96,13 @@
 } // namespace
 
 const char*
-NameOf(Rule aRule)
+NameOf(RoutingRule aRule)
 {
   return Describe(aRule).mName;
 }
 
 const char*
-TextOf(Rule aRule)
+TextOf(RoutingRule aRule)
 {
   return Describe(aRule).mText;
 }
@@ -110,8 +110,9 @@
 std::string
 WhatWouldChange(const Explanation& aExplanation)
 {
-  if (aExplanation.mRule == Rule::DeadlineTooShort) {
-    const auto needed = std::chrono::ceil<Millis>(aExplanation.mExpected);
+  if (aExplanation.mRule == RoutingRule::DeadlineTooShort) {
+    const auto needed =
+      std::chrono::ceil<Millis>(aExplanation.mExpectedResponseTime);
     return "a deadline of at least " + std::to_string(needed.count()) + " ms";
   }
   return Describe(aExplanation.mRule).mWouldChange;
@@ -135,8 +136,8 @@
   }
   record.mRule = NameOf(why.mRule);
   record.mFigures = {
-    { figure::kDeadlineMs, InMillis(why.mDeadlineLeft) },
-    { figure::kExpectedMs, InMillis(why.mExpected) },
+    { figure::kDeadlineMs, InMillis(why.mTimeToDeadline) },
+    { figure::kExpectedMs, InMillis(why.mExpectedResponseTime) },
     { figure::kAhead, why.mWaiting },
     { figure::kTries, why.mTries },
   };
--- a/Libraries/LibGateway/RequestRecord.h
+++ b/Libraries/LibGateway/RequestRecord.h
@@ -24,11 +24,11 @@
 
 /// @return the rule's name in records
 const char*
-NameOf(Rule aRule);
+NameOf(RoutingRule aRule);
 
 /// @return the rule in plain words, for the caller
 const char*
-TextOf(Rule aRule);
+TextOf(RoutingRule aRule);
 
 /// @return what would have led to another decision, as a sentence part
 std::string
--- a/Libraries/LibGateway/RoutingThread.cpp
+++ b/Libraries/LibGateway/RoutingThread.cpp
@@ -125,8 +125,8 @@
   if (request.mService == kNoService) {
     Explanation explanation;
     explanation.mKind = DecisionKind::Refuse;
-    explanation.mRule = Rule::NoRunner;
-    mActions.emplace_back(GiveUp{ request.mNumber, explanation });
+    explanation.mRule = RoutingRule::NoRunner;
+    mActions.emplace_back(EndWithoutAnswer{ request.mNumber, explanation });
     return;
   }
   Apply(mState, request, Now(), mActions);
@@ -147,7 +147,7 @@
     ->Put(RunnerCommand{ { runner.mHost, runner.mPort },
                          runner.mShard,
                          aAction.mEpoch,
-                         aAction.mTryEnds });
+                         aAction.mTryDeadline });
 }
 
 void
@@ -157,13 +157,13 @@
 }
 
 void
-RoutingThread::CarryOut(const Explain& aAction)
+RoutingThread::CarryOut(const RecordExplanation& aAction)
 {
   Record(aAction.mNumber, aAction.mExplanation);
 }
 
 void
-RoutingThread::CarryOut(const GiveUp& aAction)
+RoutingThread::CarryOut(const EndWithoutAnswer& aAction)
 {
   Record(aAction.mNumber, aAction.mExplanation);
   mMailboxes.at(aAction.mNumber)->Put(GiveUpCommand{ aAction.mExplanation });
@@ -180,7 +180,7 @@
     { aAction.mRunner, service.mName, { runner.mHost, runner.mPort } });
   if (!taken) {
     // Not the runner's fault: the next tick asks again.
-    runner.mProbing = false;
+    runner.mProbeInProgress = false;
   }
 }
 
--- a/Libraries/LibGateway/RoutingThread.h
+++ b/Libraries/LibGateway/RoutingThread.h
@@ -53,7 +53,7 @@
 };
 
 /// What this gateway has free, by service.
-using Summary = std::vector<std::pair<std::string, PeerFree>>;
+using Summary = std::vector<std::pair<std::string, PeerFreeSlots>>;
 
 /// Owns the routing state and feeds it events from a bounded ring.
 class RoutingThread
@@ -89,8 +89,8 @@
   void Carry(const RoutingAction& aAction);
   void CarryOut(const SendToRunner& aAction);
   void CarryOut(const ForwardToPeer& aAction);
-  void CarryOut(const Explain& aAction);
-  void CarryOut(const GiveUp& aAction);
+  void CarryOut(const RecordExplanation& aAction);
+  void CarryOut(const EndWithoutAnswer& aAction);
   void CarryOut(const ProbeRunner& aAction);
   void Record(RequestNumber aNumber, const Explanation& aExplanation);
   void Tend();
--- a/Libraries/LibLease/LeaseKeeper.cpp
+++ b/Libraries/LibLease/LeaseKeeper.cpp
@@ -101,8 +101,8 @@
   }
 
   void Run();
-  void Work();
-  void AskQuiescent();
+  void RunDueActions();
+  void UpdateQuiescence();
   ActionOutcome Execute(const LeaseAction& aAction);
   ActionOutcome Execute(const WriteLeaseRows& aAction);
   ActionOutcome Execute(const ReadLeaseRows& aAction);
@@ -116,7 +116,7 @@
   std::unique_lock lock(mMutex);
   while (!mStop) {
     lock.unlock();
-    Work();
+    RunDueActions();
     lock.lock();
     mWake.wait_for(lock, kTickMs, [this] { return mStop; });
   }
@@ -124,9 +124,9 @@
 
 /// Does everything that is due now.
 void
-LeaseKeeper::State::Work()
+LeaseKeeper::State::RunDueActions()
 {
-  AskQuiescent();
+  UpdateQuiescence();
   for (;;) {
     std::optional<LeaseAction> action;
     {
@@ -134,7 +134,7 @@
       if (!mStop) {
         action = NextAction(mLease, Now());
       }
-      if (mLease.mLeft) {
+      if (mLease.mHasLeft) {
         mWake.notify_all();
       }
     }
@@ -148,13 +148,13 @@
 /// Asks whether the stopping shards are quiescent. The function is called
 /// without the lock, because it may ask the keeper in turn.
 void
-LeaseKeeper::State::AskQuiescent()
+LeaseKeeper::State::UpdateQuiescence()
 {
   std::vector<std::string> shards;
   std::function<bool(std::string_view)> quiescent;
   {
     std::lock_guard lock(mMutex);
-    for (const auto& [shard, stopping] : mLease.mStopping) {
+    for (const auto& [shard, stopping] : mLease.mStoppingShards) {
       if (!stopping.mQuiescent) {
         shards.push_back(shard);
       }
@@ -166,8 +166,8 @@
       continue;
     }
     std::lock_guard lock(mMutex);
-    const auto stopping = mLease.mStopping.find(shard);
-    if (stopping != mLease.mStopping.end()) {
+    const auto stopping = mLease.mStoppingShards.find(shard);
+    if (stopping != mLease.mStoppingShards.end()) {
       stopping->second.mQuiescent = true;
     }
   }
@@ -287,7 +287,7 @@
                        std::move(shard.mRegion) });
   }
   std::lock_guard lock(mState->mMutex);
-  mState->mLease.mPlaces = std::move(places);
+  mState->mLease.mShardPlaces = std::move(places);
 }
 
 std::optional<Ownership>
@@ -386,13 +386,13 @@
   State& state = *mState;
   std::unique_lock lock(state.mMutex);
   BeginLeave(state.mLease, Now());
-  const auto left = [&state] { return state.mLease.mLeft || state.mStop; };
+  const auto left = [&state] { return state.mLease.mHasLeft || state.mStop; };
   if (!state.mWake.wait_for(lock, aLimit, left)) {
     // A last chance to delete the session row, so that nobody waits for it.
-    state.mLease.mEndNow = true;
+    state.mLease.mEndWithoutHandOver = true;
     state.mWake.wait_for(lock, kPromiseTimeoutMs, left);
   }
-  return state.mLease.mLeft && state.mLease.mHandedOverAll;
+  return state.mLease.mHasLeft && state.mLease.mHandedOverAll;
 }
 
 } // namespace paddle
--- a/Libraries/LibLeaseCore/LeaseActions.h
+++ b/Libraries/LibLeaseCore/LeaseActions.h
@@ -9,77 +9,82 @@
 
 namespace paddle {
 
-/// @name Keys of the rows
+/// @name Keys of the rows in the table service
 /// @{
 inline constexpr const char* kSessionPrefix = "session/";
 inline constexpr const char* kShardPrefix = "shard/";
 inline constexpr const char* kReleasePrefix = "release/";
-/// Written by each transaction that changes shard rows, so that processes
-/// scan those only after a change.
+/// Each transaction that changes shard rows writes this row too, so that
+/// processes scan the shard rows only after its version has changed.
 inline constexpr const char* kShardRevisionKey = "lease/revision";
 /// @}
 
-/// Deletes a row.
+/// Value that deletes a row.
 struct RowDeletion
 {};
 
-/// Writes a row whose value does not matter.
+/// Value for a row of which only the version matters.
 struct RowTouch
 {};
 
 using LeaseRowValue =
   std::variant<SessionRecord, ShardRecord, RowDeletion, RowTouch>;
 
+/// The transaction is committed only if the row has this version; version 0
+/// means that the row is absent.
 struct LeaseRowCondition
 {
   std::string mKey;
   std::uint64_t mVersion = 0;
 };
 
+/// One write of a transaction.
 struct LeaseRowWrite
 {
   std::string mKey;
   LeaseRowValue mValue;
 };
 
-/// What a transaction is for; decides how its result is taken.
+/// The purpose of a transaction. ReportWrite() treats the result accordingly.
 enum class LeaseWritePurpose
 {
-  Renew, ///< Creates or renews the own session.
-  End,   ///< Ends another session and takes its shards if it may.
-  Take,  ///< Takes shards that have no live owner.
-  HandOver,
-  Leave ///< Ends the own session.
+  Renew,           ///< Creates or renews the own session.
+  EndOtherSession, ///< Ends another session and takes its shards if allowed.
+  TakeShards,      ///< Takes shards that have no live owner.
+  HandOver,        ///< Hands shards over to another live member.
+  EndOwnSession    ///< Ends the own session when the process stops.
 };
 
-/// Commit this transaction.
+/// Action: commit this transaction.
 struct WriteLeaseRows
 {
   LeaseWritePurpose mPurpose = LeaseWritePurpose::Renew;
   std::vector<LeaseRowCondition> mConditions;
   std::vector<LeaseRowWrite> mWrites;
-  std::string mMember; ///< End: the member whose session is ended.
+  /// EndOtherSession: name of the member whose session is ended.
+  std::string mEndedMember;
 };
 
-/// The parts of a read of the table, in their order. A session that is absent
-/// although a shard names it is gone for good only if the sessions were read
-/// after the shards.
+/// The parts of a read of the table, in the order in which they are read.
+/// Sessions are read after shards: only then does the absence of a session that
+/// a shard row names prove that the session has ended.
 enum class LeaseReadPart
 {
-  Revision, ///< kShardRevisionKey and release rows.
-  Shards,   ///< All shard rows; only after the revision has changed.
-  Sessions  ///< All session rows.
+  Revision, ///< Reads kShardRevisionKey and release rows.
+  Shards,   ///< Reads all shard rows; needed after the revision has changed.
+  Sessions  ///< Reads all session rows.
 };
 
-/// Read one part. Each part is an action of its own, so that a slow table
-/// service delays the next renewal by one call at most.
+/// Action: read one part of the table. Each part is an action of its own, so
+/// that a slow table service delays the next renewal by at most one call.
 struct ReadLeaseRows
 {
   LeaseReadPart mPart = LeaseReadPart::Revision;
-  std::vector<std::string> mReleases; ///< Members whose release is of interest.
+  std::vector<std::string> mReleases; ///< Members whose release rows to read.
 };
 
-/// Ask this member not to end the own session for a term.
+/// Action: ask this member for the promise not to end the own session for a
+/// term.
 struct AskPromise
 {
   LeaseMember mPeer;
@@ -97,21 +102,22 @@
   Record mRecord;
 };
 
-/// Result of ReadLeaseRows; holds the rows of the part that was read.
+/// Result of ReadLeaseRows. Only the members of the part that was read are set.
 struct LeaseRows
 {
-  std::uint64_t mRevision = 0;
+  std::uint64_t mRevision = 0; ///< Version of kShardRevisionKey.
   std::vector<LeaseRow<ReleaseRecord>> mReleases;
   std::vector<LeaseRow<ShardRecord>> mShards;
   std::vector<LeaseRow<SessionRecord>> mSessions;
 };
 
+/// How a transaction ended.
 enum class LeaseWriteStatus
 {
   Committed,
-  Conflict,
-  Unavailable, ///< Surely not written.
-  Unknown
+  Conflict,    ///< A condition did not hold; nothing was written.
+  Unavailable, ///< The call failed; certainly nothing was written.
+  Unknown      ///< The call failed; it may have been written, also later.
 };
 
 /// Result of WriteLeaseRows.
--- a/Libraries/LibLeaseCore/LeaseDecisions.cpp
+++ b/Libraries/LibLeaseCore/LeaseDecisions.cpp
@@ -13,29 +13,29 @@
 namespace {
 
 /// Shards that stop at one time for a better owner; the others keep serving.
-constexpr std::size_t kStoppingAtOnce = 4;
+constexpr std::size_t kMaxStoppingShards = 4;
 
 /// A shard that does not become quiescent in this time goes on with its owner,
 /// because callers would wait too long.
-constexpr Millis kStopLimitMs{ 2000 };
+constexpr Millis kMaxStopTimeMs{ 2000 };
 
 /// Pause before the next attempt to hand over such a shard.
-constexpr Millis kStopPauseMs{ 30000 };
+constexpr Millis kHandOverRetryPauseMs{ 30000 };
 
 std::optional<LeaseAction>
 NextPromise(LeaseState& aState, MonotonicTime aNow)
 {
   // A slow table service can use up the term without a failure.
-  const bool late = aState.mSessionVersion != 0 &&
-                    aState.mConfirmedSent != kNever &&
-                    aNow >= aState.mConfirmedSent + aState.mConfirmed.mTerm / 2;
+  const bool late =
+    aState.mSessionVersion != 0 && aState.mConfirmedSentAt != kDistantPast &&
+    aNow >= aState.mConfirmedSentAt + aState.mConfirmedRenewal.mTerm / 2;
   if (aState.mSessionVersion == 0 || (!aState.mRenewalFailing && !late)) {
     aState.mPromisesToAsk.clear();
     return std::nullopt;
   }
   if (aNow >= aState.mNextPromise && SessionHolds(aState, aNow)) {
     // Each second at the usual term; two requests may be lost.
-    aState.mNextPromise = aNow + aState.mConfirmed.mTerm / 3;
+    aState.mNextPromise = aNow + aState.mConfirmedRenewal.mTerm / 3;
     aState.mPromisesToAsk.clear();
     for (const auto& [name, member] : aState.mPossibleSuccessors) {
       if (!name.empty()) {
@@ -46,7 +46,8 @@
   if (aState.mPromisesToAsk.empty()) {
     return std::nullopt;
   }
-  AskPromise ask{ aState.mPromisesToAsk.back(), aState.mConfirmed.mTerm };
+  AskPromise ask{ aState.mPromisesToAsk.back(),
+                  aState.mConfirmedRenewal.mTerm };
   aState.mPromisesToAsk.pop_back();
   return ask;
 }
@@ -56,8 +57,8 @@
 std::optional<LeaseAction>
 NextRead(LeaseState& aState, MonotonicTime aNow)
 {
-  if (aState.mNextPart) {
-    return ReadLeaseRows{ *aState.mNextPart, {} };
+  if (aState.mNextReadPart) {
+    return ReadLeaseRows{ *aState.mNextReadPart, {} };
   }
   if (aNow < aState.mNextRead) {
     return std::nullopt;
@@ -97,8 +98,8 @@
 void
 StopShard(LeaseState& aState, const std::string& aShard, MonotonicTime aNow)
 {
-  aState.mStopping.try_emplace(aShard,
-                               StoppingShard{ aNow, false, std::nullopt });
+  aState.mStoppingShards.try_emplace(
+    aShard, StoppingShard{ aNow, false, std::nullopt });
 }
 
 /// Goes on with shards that were to be handed over, where the better owner is
@@ -108,44 +109,46 @@
              std::span<const LeaseMember* const> aCandidates,
              MonotonicTime aNow)
 {
-  for (const ShardPlace& place : aState.mPlaces) {
-    const auto stopping = aState.mStopping.find(place.mId);
-    if (stopping == aState.mStopping.end() || stopping->second.mSentVersion) {
+  for (const ShardPlace& place : aState.mShardPlaces) {
+    const auto stopping = aState.mStoppingShards.find(place.mId);
+    if (stopping == aState.mStoppingShards.end() ||
+        stopping->second.mHandOverSessionVersion) {
       continue;
     }
     const bool tooLong = !stopping->second.mQuiescent &&
-                         aNow >= stopping->second.mSince + kStopLimitMs;
+                         aNow >= stopping->second.mSince + kMaxStopTimeMs;
     if (tooLong) {
-      aState.mNotBefore[place.mId] = aNow + kStopPauseMs;
+      aState.mHandOverNotBefore[place.mId] = aNow + kHandOverRetryPauseMs;
     }
     if (tooLong || !HasBetterOwner(aState, place, aCandidates, aNow)) {
-      aState.mStopping.erase(stopping);
+      aState.mStoppingShards.erase(stopping);
     }
   }
 }
 
 /// Chooses the shards whose work stops now.
 void
-UpdateStopping(LeaseState& aState, MonotonicTime aNow)
+UpdateStoppingShards(LeaseState& aState, MonotonicTime aNow)
 {
   if (aState.mLeaving) {
-    for (const auto& [shard, held] : aState.mHeld) {
+    for (const auto& [shard, held] : aState.mHeldShards) {
       StopShard(aState, shard, aNow);
     }
     return;
   }
   const std::vector<const LeaseMember*> candidates = OwnerCandidates(aState);
   ResumeShards(aState, candidates, aNow);
-  for (const ShardPlace& place : aState.mPlaces) {
-    if (aState.mStopping.size() >= kStoppingAtOnce) {
+  for (const ShardPlace& place : aState.mShardPlaces) {
+    if (aState.mStoppingShards.size() >= kMaxStoppingShards) {
       return;
     }
-    if (!aState.mHeld.contains(place.mId) ||
+    if (!aState.mHeldShards.contains(place.mId) ||
         !HasBetterOwner(aState, place, candidates, aNow)) {
       continue;
     }
-    const auto notBefore = aState.mNotBefore.find(place.mId);
-    if (notBefore == aState.mNotBefore.end() || aNow >= notBefore->second) {
+    const auto notBefore = aState.mHandOverNotBefore.find(place.mId);
+    if (notBefore == aState.mHandOverNotBefore.end() ||
+        aNow >= notBefore->second) {
       StopShard(aState, place.mId, aNow);
     }
   }
@@ -153,13 +156,14 @@
 
 /// Marks a hand-over as unsettled before it is sent.
 void
-NoteHandOver(LeaseState& aState, const WriteLeaseRows& aAction)
+MarkHandOverSent(LeaseState& aState, const WriteLeaseRows& aAction)
 {
   for (const LeaseRowWrite& write : aAction.mWrites) {
     if (std::holds_alternative<ShardRecord>(write.mValue)) {
       const std::string shard =
         write.mKey.substr(std::string_view(kShardPrefix).size());
-      aState.mStopping.at(shard).mSentVersion = aState.mSessionVersion;
+      aState.mStoppingShards.at(shard).mHandOverSessionVersion =
+        aState.mSessionVersion;
     }
   }
 }
@@ -170,36 +174,37 @@
   if (!SessionHolds(aState, aNow)) {
     return std::nullopt;
   }
-  UpdateStopping(aState, aNow);
+  UpdateStoppingShards(aState, aNow);
   if (auto handOver = MakeHandOver(aState)) {
-    NoteHandOver(aState, *handOver);
+    MarkHandOverSent(aState, *handOver);
     return *handOver;
   }
   if (aState.mLeaving) {
     return std::nullopt;
   }
-  if (auto take = MakeTake(aState, aNow)) {
+  if (auto take = MakeAcquisition(aState, aNow)) {
     return *take;
   }
   return std::nullopt;
 }
 
 std::optional<LeaseAction>
-NextLeave(LeaseState& aState, MonotonicTime aNow)
+NextStepOfLeaving(LeaseState& aState, MonotonicTime aNow)
 {
   if (!aState.mLeaving ||
-      (!aState.mEndNow && !(aState.mFresh && ReadyToLeave(aState, aNow)))) {
+      (!aState.mEndWithoutHandOver &&
+       !(aState.mReadIsCurrent && ReadyToLeave(aState, aNow)))) {
     return std::nullopt;
   }
   if (aState.mSessionVersion == 0) {
-    aState.mLeft = true;
+    aState.mHasLeft = true;
     return std::nullopt;
   }
-  aState.mHandedOverAll = aState.mHeld.empty();
+  aState.mHandedOverAll = aState.mHeldShards.empty();
   // The row may be gone from here on, whatever the answer says.
-  aState.mValidUntil = kNever;
+  aState.mValidUntil = kDistantPast;
   aState.mPromisedUntil.clear();
-  return MakeLeave(aState);
+  return MakeOwnSessionEnd(aState);
 }
 
 } // namespace
@@ -207,13 +212,13 @@
 std::optional<LeaseAction>
 NextAction(LeaseState& aState, MonotonicTime aNow)
 {
-  if (aState.mLeft) {
+  if (aState.mHasLeft) {
     return std::nullopt;
   }
   if (auto promise = NextPromise(aState, aNow)) {
     return promise;
   }
-  if (auto leave = NextLeave(aState, aNow)) {
+  if (auto leave = NextStepOfLeaving(aState, aNow)) {
     return leave;
   }
   if (aState.mSessionVersion != 0 && aNow >= aState.mNextRenewal) {
@@ -222,7 +227,7 @@
   if (auto read = NextRead(aState, aNow)) {
     return read;
   }
-  if (!aState.mFresh || aState.mLeft) {
+  if (!aState.mReadIsCurrent || aState.mHasLeft) {
     return std::nullopt;
   }
   if (ShouldCreateSession(aState)) {
@@ -242,7 +247,7 @@
   }
   aState.mLeaving = true;
   aState.mNextRenewal = aNow;
-  aState.mStopping.clear();
+  aState.mStoppingShards.clear();
 }
 
 } // namespace paddle
--- a/Libraries/LibLeaseCore/LeaseInternals.h
+++ b/Libraries/LibLeaseCore/LeaseInternals.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Shared by the source files of the lease decisions; not for their users.
+// Functions that the source files of the lease decisions share. Other libraries
+// must not include this file.
 
 #include <vector>
 
@@ -8,21 +9,22 @@
 
 namespace paddle {
 
-/// @return whether the session's row was unchanged for a term and the margin
-///         at the last read
+/// @return whether the session's row had not changed for a term and the safety
+///         margin at the last read, so that its holder may be dead
 bool
 IsSuspect(const LeaseState& aState, const SeenSession& aSession);
 
-/// @return whether @p aMember is the own present session
+/// @return whether @p aMember describes the current session of this process
 bool
 IsSelf(const LeaseState& aState, const LeaseMember& aMember);
 
-/// @return other live members of the own role that do not leave
+/// @return the other live members of the own role, without those that are
+///         leaving
 std::vector<const LeaseMember*>
 StayingPeers(const LeaseState& aState);
 
-/// @return members that shards may be given to, including this process unless
-///         it leaves
+/// @return the members that may become owners of shards, including this process
+///         unless it is leaving
 std::vector<const LeaseMember*>
 OwnerCandidates(const LeaseState& aState);
 
--- a/Libraries/LibLeaseCore/LeaseQueries.cpp
+++ b/Libraries/LibLeaseCore/LeaseQueries.cpp
@@ -15,9 +15,11 @@
 bool
 PromisesHold(const LeaseState& aState, MonotonicTime aNow)
 {
-  if (aState.mConfirmedSent == kNever || aState.mPossibleSuccessors.empty() ||
-      aNow >= aState.mConfirmedSent +
-                HolderLongWait(aState.mConfirmed.mForeignTakeoverWait)) {
+  if (aState.mConfirmedSentAt == kDistantPast ||
+      aState.mPossibleSuccessors.empty() ||
+      aNow >=
+        aState.mConfirmedSentAt +
+          HolderTakeoverWait(aState.mConfirmedRenewal.mForeignTakeoverWait)) {
     return false;
   }
   return std::ranges::all_of(
@@ -39,9 +41,9 @@
 const HeldShard*
 FindOwned(const LeaseState& aState, std::string_view aShard, MonotonicTime aNow)
 {
-  const auto held = aState.mHeld.find(aShard);
-  if (held == aState.mHeld.end() || aState.mStopping.contains(aShard) ||
-      !SessionHolds(aState, aNow)) {
+  const auto held = aState.mHeldShards.find(aShard);
+  if (held == aState.mHeldShards.end() ||
+      aState.mStoppingShards.contains(aShard) || !SessionHolds(aState, aNow)) {
     return nullptr;
   }
   return &held->second;
@@ -76,11 +78,11 @@
 const LeaseMember*
 NamedSuccessor(const LeaseState& aState)
 {
-  if (aState.mSessionVersion == 0 || aState.mConfirmedSent == kNever) {
+  if (aState.mSessionVersion == 0 || aState.mConfirmedSentAt == kDistantPast) {
     return nullptr;
   }
   const auto found =
-    aState.mPossibleSuccessors.find(aState.mConfirmed.mSuccessor);
+    aState.mPossibleSuccessors.find(aState.mConfirmedRenewal.mSuccessor);
   if (found == aState.mPossibleSuccessors.end() || found->first.empty()) {
     return nullptr;
   }
@@ -116,17 +118,17 @@
   if (aState.mSessionVersion == 0) {
     return true;
   }
-  if (aState.mHeld.empty()) {
+  if (aState.mHeldShards.empty()) {
     // New owners learn of a hand-over by their next read. They find this
     // process's address there as long as its session exists, and may fetch
     // what belongs to the shard.
-    return aState.mLastHandOver == kNever ||
+    return aState.mLastHandOver == kDistantPast ||
            aNow >= aState.mLastHandOver + RenewInterval(aState) * 3 / 2;
   }
   return OwnerCandidates(aState).empty() &&
-         std::ranges::all_of(aState.mHeld, [&](const auto& aHeld) {
-           const auto stopping = aState.mStopping.find(aHeld.first);
-           return stopping != aState.mStopping.end() &&
+         std::ranges::all_of(aState.mHeldShards, [&](const auto& aHeld) {
+           const auto stopping = aState.mStoppingShards.find(aHeld.first);
+           return stopping != aState.mStoppingShards.end() &&
                   stopping->second.mQuiescent;
          });
 }
--- a/Libraries/LibLeaseCore/LeaseRecords.h
+++ b/Libraries/LibLeaseCore/LeaseRecords.h
@@ -16,28 +16,31 @@
   std::string mDataCentre;
   std::string mRegion;
   std::string mAddress; ///< "ADDRESS:PORT"; opaque to the decisions.
-  /// Counts the sessions of one process. A session that was ended stays ended,
-  /// although its process may start another.
+  /// Counts the sessions of one process. A session that was ended stays ended;
+  /// the process may start another one with the next generation.
   std::uint64_t mGeneration = 1;
 
   bool operator==(const LeaseMember&) const = default;
 };
 
-/// Value of a session row. It carries the holder's times, so that all
-/// processes judge it alike while settings change.
+/// Value of a session row. It contains the time settings of its holder, so that
+/// all processes apply the same times to it while settings change.
 struct SessionRecord
 {
   LeaseMember mMember;
-  std::uint64_t mRenewals = 0;
-  /// The only member that may end the session after a term; empty if none.
+  std::uint64_t mRenewals = 0; ///< Number of renewals sent.
+  /// Name of the only member that may end the session as soon as its term has
+  /// ended. Empty if there is no successor; then any member may.
   std::string mSuccessor;
   std::string mSuccessorIncarnation;
   Millis mTerm{ 0 };
+  /// How long members other than the successor wait before they end it.
   Millis mForeignTakeoverWait{ 0 };
-  bool mLeaving = false; ///< Gets no further shards.
+  bool mLeaving = false; ///< The process stops and gets no more shards.
 };
 
-/// How the owner of a shard got it; LibLease has the same list.
+/// How the owner of a shard acquired it. Acquisition in LibLease, where the
+/// values are documented, has the same values in the same order.
 enum class ShardAcquisition
 {
   FirstOwner,
@@ -54,14 +57,14 @@
   ShardAcquisition mAcquisition = ShardAcquisition::FirstOwner;
 };
 
-/// Value of a release row: an operator states that this session's host is
-/// gone.
+/// Value of a release row. An operator writes it to state that the host of the
+/// session with this incarnation is gone, so that others need not wait.
 struct ReleaseRecord
 {
   std::string mIncarnation;
 };
 
-/// A shard that must have an owner, and where it is.
+/// A shard that must have an owner, and its location.
 struct ShardPlace
 {
   std::string mId;
@@ -69,7 +72,7 @@
   std::string mRegion;
 };
 
-/// @return whether two descriptions concern the same session
+/// @return whether two descriptions are of the same session
 inline bool
 IsSameSession(const LeaseMember& aOne, const LeaseMember& aOther)
 {
--- a/Libraries/LibLeaseCore/LeaseReports.cpp
+++ b/Libraries/LibLeaseCore/LeaseReports.cpp
@@ -14,16 +14,16 @@
 /// The own session was ended. The next one gets another generation, so that
 /// shard rows which still name this one stay without a live owner.
 void
-LoseSession(LeaseState& aState)
+ForgetOwnSession(LeaseState& aState)
 {
   aState.mSessionVersion = 0;
-  aState.mValidUntil = kNever;
-  aState.mConfirmedSent = kNever;
+  aState.mValidUntil = kDistantPast;
+  aState.mConfirmedSentAt = kDistantPast;
   aState.mRenewalFailing = false;
   aState.mPossibleSuccessors.clear();
   aState.mPromisedUntil.clear();
-  aState.mHeld.clear();
-  aState.mStopping.clear();
+  aState.mHeldShards.clear();
+  aState.mStoppingShards.clear();
   ++aState.mSelf.mGeneration;
 }
 
@@ -31,7 +31,7 @@
 void
 RequireRead(LeaseState& aState, MonotonicTime aNow)
 {
-  aState.mFresh = false;
+  aState.mReadIsCurrent = false;
   aState.mNextRead = std::min(
     aState.mNextRead, aNow + std::min(RenewInterval(aState) / 4, Millis(250)));
 }
@@ -54,7 +54,7 @@
     return;
   }
   if (aState.mSessionVersion != 0) {
-    LoseSession(aState);
+    ForgetOwnSession(aState);
   }
 }
 
@@ -72,11 +72,11 @@
         aState.mNextRead = aNow;
       }
       const LeaseMember successor =
-        aState.mPossibleSuccessors[aState.mSent.mSuccessor];
+        aState.mPossibleSuccessors[aState.mSentRenewal.mSuccessor];
       aState.mSessionVersion = aResult.mVersion;
-      aState.mConfirmed = aState.mSent;
-      aState.mConfirmedSent = aSent;
-      aState.mValidUntil = aSent + HolderTerm(aState.mSent.mTerm);
+      aState.mConfirmedRenewal = aState.mSentRenewal;
+      aState.mConfirmedSentAt = aSent;
+      aState.mValidUntil = aSent + HolderTerm(aState.mSentRenewal.mTerm);
       aState.mPossibleSuccessors = { { successor.mName, successor } };
       aState.mRenewalFailing = false;
       aState.mNextRenewal = aSent + interval;
@@ -107,19 +107,20 @@
           const ShardRecord& aRecord,
           MonotonicTime aNow)
 {
-  const auto held = aState.mHeld.find(aShard);
-  if (held != aState.mHeld.end() && held->second.mEpoch == aRecord.mEpoch) {
+  const auto held = aState.mHeldShards.find(aShard);
+  if (held != aState.mHeldShards.end() &&
+      held->second.mEpoch == aRecord.mEpoch) {
     return;
   }
-  aState.mHeld.insert_or_assign(
+  aState.mHeldShards.insert_or_assign(
     aShard, HeldShard{ aRecord.mEpoch, aRecord.mAcquisition, aNow });
 }
 
 void
 DropShard(LeaseState& aState, const std::string& aShard)
 {
-  aState.mHeld.erase(aShard);
-  aState.mStopping.erase(aShard);
+  aState.mHeldShards.erase(aShard);
+  aState.mStoppingShards.erase(aShard);
 }
 
 /// Takes the committed rows into the state, as if they had been read.
@@ -153,10 +154,10 @@
     if (!std::holds_alternative<ShardRecord>(write.mValue)) {
       continue;
     }
-    const auto stopping = aState.mStopping.find(
+    const auto stopping = aState.mStoppingShards.find(
       write.mKey.substr(std::string_view(kShardPrefix).size()));
-    if (stopping != aState.mStopping.end()) {
-      stopping->second.mSentVersion.reset();
+    if (stopping != aState.mStoppingShards.end()) {
+      stopping->second.mHandOverSessionVersion.reset();
     }
   }
 }
@@ -187,8 +188,8 @@
               const std::vector<LeaseRow<SessionRecord>>& aRows,
               MonotonicTime aNow)
 {
-  const bool gap =
-    aState.mLastRead == kNever || aNow - aState.mLastRead > SessionTerm(aState);
+  const bool gap = aState.mLastRead == kDistantPast ||
+                   aNow - aState.mLastRead > SessionTerm(aState);
   std::map<std::string, SeenSession> sessions;
   const LeaseRow<SessionRecord>* own = nullptr;
   for (const LeaseRow<SessionRecord>& row : aRows) {
@@ -211,10 +212,11 @@
 void
 SettleHandOver(LeaseState& aState, const std::string& aShard)
 {
-  const auto stopping = aState.mStopping.find(aShard);
-  if (stopping != aState.mStopping.end() && stopping->second.mSentVersion &&
-      *stopping->second.mSentVersion != aState.mSessionVersion) {
-    stopping->second.mSentVersion.reset();
+  const auto stopping = aState.mStoppingShards.find(aShard);
+  if (stopping != aState.mStoppingShards.end() &&
+      stopping->second.mHandOverSessionVersion &&
+      *stopping->second.mHandOverSessionVersion != aState.mSessionVersion) {
+    stopping->second.mHandOverSessionVersion.reset();
   }
 }
 
@@ -240,8 +242,8 @@
 bool
 HasUnsettledHandOver(const LeaseState& aState)
 {
-  return std::ranges::any_of(aState.mStopping, [](const auto& aStopping) {
-    return aStopping.second.mSentVersion.has_value();
+  return std::ranges::any_of(aState.mStoppingShards, [](const auto& aStopping) {
+    return aStopping.second.mHandOverSessionVersion.has_value();
   });
 }
 
@@ -260,9 +262,9 @@
     ApplyShards(aState, rows.mShards, aNow);
     aState.mShardRevision = rows.mRevision;
   }
-  aState.mNextPart.reset();
+  aState.mNextReadPart.reset();
   aState.mLastRead = aNow;
-  aState.mFresh = true;
+  aState.mReadIsCurrent = true;
 }
 
 } // namespace
@@ -273,7 +275,7 @@
   LeaseState state;
   state.mTimes = aTimes;
   state.mSelf = std::move(aSelf);
-  state.mStarted = aNow;
+  state.mStartedAt = aNow;
   return state;
 }
 
@@ -289,14 +291,14 @@
     return;
   }
   if (aResult.mStatus == LeaseWriteStatus::Committed) {
-    if (aAction.mPurpose == LeaseWritePurpose::Leave) {
-      LoseSession(aState);
-      aState.mLeft = true;
+    if (aAction.mPurpose == LeaseWritePurpose::EndOwnSession) {
+      ForgetOwnSession(aState);
+      aState.mHasLeft = true;
       return;
     }
-    if (aAction.mPurpose == LeaseWritePurpose::End) {
-      aState.mSessions.erase(aAction.mMember);
-      aState.mReleases.erase(aAction.mMember);
+    if (aAction.mPurpose == LeaseWritePurpose::EndOtherSession) {
+      aState.mSessions.erase(aAction.mEndedMember);
+      aState.mReleases.erase(aAction.mEndedMember);
     }
     if (aAction.mPurpose == LeaseWritePurpose::HandOver) {
       aState.mLastHandOver = aNow;
@@ -322,13 +324,14 @@
                         HasUnsettledHandOver(aState);
       aState.mPartialRead = std::move(aRows);
       aState.mShardsScanned = false;
-      aState.mNextPart = scan ? LeaseReadPart::Shards : LeaseReadPart::Sessions;
+      aState.mNextReadPart =
+        scan ? LeaseReadPart::Shards : LeaseReadPart::Sessions;
       return;
     }
     case LeaseReadPart::Shards:
       aState.mPartialRead.mShards = std::move(aRows.mShards);
       aState.mShardsScanned = true;
-      aState.mNextPart = LeaseReadPart::Sessions;
+      aState.mNextReadPart = LeaseReadPart::Sessions;
       return;
     case LeaseReadPart::Sessions:
       aState.mPartialRead.mSessions = std::move(aRows.mSessions);
@@ -340,8 +343,8 @@
 void
 ReportReadFailure(LeaseState& aState, MonotonicTime aNow)
 {
-  aState.mFresh = false;
-  aState.mNextPart.reset();
+  aState.mReadIsCurrent = false;
+  aState.mNextReadPart.reset();
   aState.mNextRead = aNow + RenewInterval(aState);
 }
 
--- a/Libraries/LibLeaseCore/LeaseWrites.cpp
+++ b/Libraries/LibLeaseCore/LeaseWrites.cpp
@@ -14,10 +14,10 @@
 
 /// Renewals of all processes together stay below this share of the several
 /// hundred writes/s that the table service sustains.
-constexpr std::int64_t kRenewalsPerSecond = 100;
+constexpr std::int64_t kMaxRenewalsPerSecond = 100;
 
 /// Bounds the size of one transaction.
-constexpr std::size_t kShardsPerTransaction = 32;
+constexpr std::size_t kMaxShardsPerTransaction = 32;
 
 std::string
 SessionKey(const LeaseMember& aMember)
@@ -53,13 +53,13 @@
 }
 
 std::size_t
-ShardCount(const WriteLeaseRows& aAction)
+ShardsInTransaction(const WriteLeaseRows& aAction)
 {
   return aAction.mWrites.size();
 }
 
 const LeaseMember*
-WantedSuccessor(const LeaseState& aState)
+PreferredSuccessor(const LeaseState& aState)
 {
   if (aState.mLeaving) {
     return nullptr;
@@ -70,7 +70,7 @@
 /// @return whether the session belongs to an earlier life of this process,
 ///         which surely uses it no more
 bool
-IsOwnFormerSession(const LeaseState& aState, const LeaseMember& aMember)
+IsOwnEarlierSession(const LeaseState& aState, const LeaseMember& aMember)
 {
   return aMember.mName == aState.mSelf.mName &&
          aMember.mIncarnation == aState.mSelf.mIncarnation &&
@@ -86,35 +86,35 @@
 }
 
 bool
-HasGranted(const LeaseState& aState,
-           const std::string& aMember,
-           MonotonicTime aNow)
+HasGrantedPromise(const LeaseState& aState,
+                  const std::string& aMember,
+                  MonotonicTime aNow)
 {
   const auto granted = aState.mGrantedUntil.find(aMember);
   return granted != aState.mGrantedUntil.end() && aNow < granted->second;
 }
 
 bool
-MayEnd(const LeaseState& aState,
-       const SeenSession& aSession,
-       MonotonicTime aNow)
+MayEndSession(const LeaseState& aState,
+              const SeenSession& aSession,
+              MonotonicTime aNow)
 {
   const SessionRecord& record = aSession.mRecord;
   if (record.mMember.mRole != aState.mSelf.mRole ||
       IsSelf(aState, record.mMember)) {
     return false;
   }
-  if (IsOwnFormerSession(aState, record.mMember)) {
+  if (IsOwnEarlierSession(aState, record.mMember)) {
     return true;
   }
   const Millis wait = TakerTerm(record.mTerm);
   if (aNow < aSession.mWatchedSince + wait ||
-      HasGranted(aState, record.mMember.mName, aNow)) {
+      HasGrantedPromise(aState, record.mMember.mName, aNow)) {
     return false;
   }
   if (record.mSuccessor == aState.mSelf.mName) {
     // An earlier life of this process may have promised something.
-    return aNow >= aState.mStarted + wait;
+    return aNow >= aState.mStartedAt + wait;
   }
   return record.mSuccessor.empty() || IsReleased(aState, record.mMember) ||
          aNow >= aSession.mUnchangedSince + record.mForeignTakeoverWait;
@@ -123,9 +123,9 @@
 /// Adds the shards of the ended session, if this process is its successor and
 /// holds copies of what belongs to them.
 void
-AddSuccession(const LeaseState& aState,
-              const SessionRecord& aEnded,
-              WriteLeaseRows& aAction)
+AddShardsOfEndedSession(const LeaseState& aState,
+                        const SessionRecord& aEnded,
+                        WriteLeaseRows& aAction)
 {
   if (aState.mSessionVersion == 0 || aState.mLeaving ||
       aEnded.mSuccessor != aState.mSelf.mName ||
@@ -163,7 +163,7 @@
 {
   const auto writers = static_cast<std::int64_t>(aState.mSessions.size());
   return std::max(aState.mTimes.mRenewInterval,
-                  Millis(writers * 1000 / kRenewalsPerSecond));
+                  Millis(writers * 1000 / kMaxRenewalsPerSecond));
 }
 
 Millis
@@ -183,7 +183,7 @@
   record.mForeignTakeoverWait = aState.mTimes.mForeignTakeoverWait;
   record.mLeaving = aState.mLeaving;
   LeaseMember successor;
-  if (const LeaseMember* wanted = WantedSuccessor(aState)) {
+  if (const LeaseMember* wanted = PreferredSuccessor(aState)) {
     successor = *wanted;
   }
   record.mSuccessor = successor.mName;
@@ -194,7 +194,7 @@
   // A shorter term counts from the moment at which the row may hold it.
   aState.mValidUntil =
     std::min(aState.mValidUntil, aNow + HolderTerm(record.mTerm));
-  aState.mSent = record;
+  aState.mSentRenewal = record;
 
   WriteLeaseRows action;
   action.mPurpose = LeaseWritePurpose::Renew;
@@ -212,12 +212,12 @@
 MakeSessionEnd(const LeaseState& aState, MonotonicTime aNow)
 {
   for (const auto& [name, session] : aState.mSessions) {
-    if (!MayEnd(aState, session, aNow)) {
+    if (!MayEndSession(aState, session, aNow)) {
       continue;
     }
     WriteLeaseRows action;
-    action.mPurpose = LeaseWritePurpose::End;
-    action.mMember = name;
+    action.mPurpose = LeaseWritePurpose::EndOtherSession;
+    action.mEndedMember = name;
     action.mConditions.push_back({ kSessionPrefix + name, session.mVersion });
     action.mWrites.push_back({ kSessionPrefix + name, RowDeletion{} });
     const auto release = aState.mReleases.find(name);
@@ -226,14 +226,14 @@
         { kReleasePrefix + name, release->second.mVersion });
       action.mWrites.push_back({ kReleasePrefix + name, RowDeletion{} });
     }
-    AddSuccession(aState, session.mRecord, action);
+    AddShardsOfEndedSession(aState, session.mRecord, action);
     return action;
   }
   return std::nullopt;
 }
 
 std::optional<WriteLeaseRows>
-MakeTake(const LeaseState& aState, MonotonicTime aNow)
+MakeAcquisition(const LeaseState& aState, MonotonicTime aNow)
 {
   const std::vector<const LeaseMember*> candidates = OwnerCandidates(aState);
   // Processes that start together see each other before the first owners are
@@ -241,9 +241,9 @@
   const bool settled =
     aNow >= aState.mSessionSince + aState.mTimes.mRenewInterval;
   WriteLeaseRows action;
-  action.mPurpose = LeaseWritePurpose::Take;
+  action.mPurpose = LeaseWritePurpose::TakeShards;
   RequireOwnSession(aState, action);
-  for (const ShardPlace& place : aState.mPlaces) {
+  for (const ShardPlace& place : aState.mShardPlaces) {
     const auto seen = aState.mShards.find(place.mId);
     const bool isNew = seen == aState.mShards.end();
     if (isNew ? !settled : HasSession(aState, seen->second.mRecord.mOwner)) {
@@ -259,7 +259,7 @@
       { aState.mSelf,
         isNew ? 1 : seen->second.mRecord.mEpoch + 1,
         isNew ? ShardAcquisition::FirstOwner : ShardAcquisition::Takeover });
-    if (ShardCount(action) == kShardsPerTransaction) {
+    if (ShardsInTransaction(action) == kMaxShardsPerTransaction) {
       break;
     }
   }
@@ -277,16 +277,16 @@
   WriteLeaseRows action;
   action.mPurpose = LeaseWritePurpose::HandOver;
   RequireOwnSession(aState, action);
-  for (const auto& [shard, stopping] : aState.mStopping) {
+  for (const auto& [shard, stopping] : aState.mStoppingShards) {
     const auto seen = aState.mShards.find(shard);
-    if (!stopping.mQuiescent || stopping.mSentVersion ||
+    if (!stopping.mQuiescent || stopping.mHandOverSessionVersion ||
         seen == aState.mShards.end()) {
       continue;
     }
     const auto place =
-      std::ranges::find(aState.mPlaces, shard, &ShardPlace::mId);
+      std::ranges::find(aState.mShardPlaces, shard, &ShardPlace::mId);
     const LeaseMember* target = ChooseOwner(
-      place == aState.mPlaces.end() ? ShardPlace{ shard, "", "" } : *place,
+      place == aState.mShardPlaces.end() ? ShardPlace{ shard, "", "" } : *place,
       candidates);
     if (!target) {
       continue;
@@ -296,7 +296,7 @@
       shard,
       seen->second.mVersion,
       { *target, seen->second.mRecord.mEpoch + 1, ShardAcquisition::HandOver });
-    if (ShardCount(action) == kShardsPerTransaction) {
+    if (ShardsInTransaction(action) == kMaxShardsPerTransaction) {
       break;
     }
   }
@@ -308,10 +308,10 @@
 }
 
 WriteLeaseRows
-MakeLeave(const LeaseState& aState)
+MakeOwnSessionEnd(const LeaseState& aState)
 {
   WriteLeaseRows action;
-  action.mPurpose = LeaseWritePurpose::Leave;
+  action.mPurpose = LeaseWritePurpose::EndOwnSession;
   RequireOwnSession(aState, action);
   action.mWrites.push_back({ SessionKey(aState.mSelf), RowDeletion{} });
   return action;
--- a/Libraries/LibLeaseCore/LeaseWrites.h
+++ b/Libraries/LibLeaseCore/LeaseWrites.h
@@ -29,7 +29,7 @@
 /// @return a transaction that takes the shards that have no live owner and
 ///         for which this process comes first, if there are any
 std::optional<WriteLeaseRows>
-MakeTake(const LeaseState& aState, MonotonicTime aNow);
+MakeAcquisition(const LeaseState& aState, MonotonicTime aNow);
 
 /// @return a transaction that hands over stopped shards, if there are any
 std::optional<WriteLeaseRows>
@@ -37,6 +37,6 @@
 
 /// @return a transaction that ends the own session
 WriteLeaseRows
-MakeLeave(const LeaseState& aState);
+MakeOwnSessionEnd(const LeaseState& aState);
 
 } // namespace paddle
--- a/Libraries/LibRouting/KeyMemory.cpp
+++ b/Libraries/LibRouting/KeyMemory.cpp
@@ -6,31 +6,34 @@
 
 namespace {
 
-/// Bytes that an entry takes beside its key and answer, for the bound.
-constexpr std::size_t kEntryOverhead = 128;
+/// Bytes that an entry counts for in the memory bound besides its key and
+/// answer.
+constexpr std::size_t kEntryOverheadBytes = 128;
 
+/// @return the bytes that an entry counts for in the memory bound
 std::size_t
 BytesOf(std::string_view aKey, const KeyEntry& aEntry)
 {
-  std::size_t bytes = aKey.size() + kEntryOverhead;
+  std::size_t bytes = aKey.size() + kEntryOverheadBytes;
   if (aEntry.mState == KeyState::Started) {
-    // Room for the answer is kept from the start, so that it can always be
-    // stored without pushing another entry out.
-    bytes += kLargestStoredAnswer;
+    // Memory for the answer is reserved from the start, so that the answer can
+    // always be stored without the removal of another entry.
+    bytes += kMaxStoredAnswerBytes;
   } else if (aEntry.mAnswer) {
     bytes += aEntry.mAnswer->size();
   }
   return bytes;
 }
 
+/// @return the decision about a key that has an entry
 KeyDecision
-DecideKnown(const KeyEntry& aEntry)
+DecideKnownKey(const KeyEntry& aEntry)
 {
   switch (aEntry.mState) {
     case KeyState::Started:
       return KeyDecision::Wait;
     case KeyState::Finished:
-      return aEntry.mAnswer ? KeyDecision::Replay : KeyDecision::AnswerTooOld;
+      return aEntry.mAnswer ? KeyDecision::Replay : KeyDecision::AnswerTooLarge;
     case KeyState::Unknown:
       return KeyDecision::Unknown;
   }
@@ -42,8 +45,8 @@
 std::uint32_t
 KeyShardOf(std::string_view aKey)
 {
-  // FNV-1a: every process and every build must map a key to the same shard,
-  // which std::hash doesn't promise.
+  // The hash is FNV-1a. Every process and every build must map a key to the
+  // same shard, which std::hash does not guarantee.
   std::uint64_t hash = 14695981039346656037ULL;
   for (const char c : aKey) {
     hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
@@ -54,7 +57,8 @@
 KeyDecision
 AdmitKey(KeyMemory& aMemory, std::string_view aKey, MonotonicTime aNow)
 {
-  // A scan of all entries, so once a second and not for each request.
+  // Expiry scans all entries, so it runs at this interval and not for each
+  // request.
   constexpr Millis kExpiryInterval{ 1000 };
   if (aNow >= aMemory.mNextExpiry) {
     ExpireKeys(aMemory, aNow);
@@ -62,7 +66,7 @@
   }
   const auto found = aMemory.mEntries.find(aKey);
   if (found != aMemory.mEntries.end()) {
-    return DecideKnown(found->second);
+    return DecideKnownKey(found->second);
   }
   if (aMemory.mCompleteness == KeyCompleteness::Incomplete) {
     if (aNow < aMemory.mCompleteFrom) {
@@ -73,7 +77,7 @@
   KeyEntry entry{ KeyState::Started,
                   nullptr,
                   aNow + aMemory.mSettings.mRetention };
-  if (aMemory.mBytes + BytesOf(aKey, entry) > aMemory.mSettings.mMostBytes) {
+  if (aMemory.mBytes + BytesOf(aKey, entry) > aMemory.mSettings.mMaxBytes) {
     return KeyDecision::Full;
   }
   PutKey(aMemory, aKey, std::move(entry));
@@ -86,7 +90,7 @@
           std::shared_ptr<const std::string> aAnswer,
           MonotonicTime aNow)
 {
-  if (aAnswer && aAnswer->size() > kLargestStoredAnswer) {
+  if (aAnswer && aAnswer->size() > kMaxStoredAnswerBytes) {
     aAnswer = nullptr;
   }
   PutKey(aMemory,
@@ -151,7 +155,7 @@
     return;
   }
   if (aAcquisition != Acquisition::Takeover && aCopies == KeyCopies::Synced) {
-    return; // As complete as the predecessor's memory was.
+    return; // The copies are as complete as the predecessor's entries were.
   }
   aMemory.mCompleteness = KeyCompleteness::Incomplete;
   aMemory.mCompleteFrom = aNow + aMemory.mSettings.mRetention;
--- a/Libraries/LibRouting/Policies/LeastOutstanding.cpp
+++ b/Libraries/LibRouting/Policies/LeastOutstanding.cpp
@@ -8,30 +8,34 @@
 
 namespace {
 
+/// Rank of a runner; the runner with the lowest score is chosen.
 using Score = std::uint64_t;
 
+/// Score of a runner that must not be chosen.
 constexpr Score kNotACandidate = std::numeric_limits<Score>::max();
 
+/// The runner with the lowest score so far.
 struct Best
 {
   Score mScore = kNotACandidate;
   std::size_t mIndex = kNoRunner;
 };
 
-/// Orders runners by outstanding work, then by recent latency. The bits of
-/// floats that are not negative order as the floats do.
+/// @return the score of a runner, which orders runners by slots in use and then
+///         by recent latency. Floats that are not negative have the same order
+///         as their bits.
 template<RouteKind Kind>
 Score
 ScoreOf(const RunnerLoad& aLoad)
 {
-  const Score score = (Score{ aLoad.mInUse } << 32) |
+  const Score score = (Score{ aLoad.mSlotsInUse } << 32) |
                       std::bit_cast<std::uint32_t>(aLoad.mLatencyUs);
-  return CanTake(aLoad, Kind) ? score : kNotACandidate;
+  return HasFreeSlot(aLoad, Kind) ? score : kNotACandidate;
 }
 
-/// Scans all runners without a branch that depends on their load. With such
-/// branches a request at 200 runners took 1.5 us of processor time, without
-/// them 0.7 us (measure-routing).
+/// Scans a range of runners without a branch that depends on their load. With
+/// such branches a request at 200 runners took 1.5 us of processor time, and
+/// without them 0.7 us (program measure-routing).
 template<RouteKind Kind>
 void
 Scan(std::span<const RunnerLoad> aLoads,
@@ -50,46 +54,47 @@
   aBest = { score, best };
 }
 
-/// Leaves out the runners that have failed the request; rarely needed.
+/// Scans all runners except those that have failed the request. Few requests
+/// need this slower scan.
 template<RouteKind Kind>
 void
-ScanUntried(const RunnerQuestion& aQuestion, std::size_t aBegin, Best& aBest)
+ScanUntried(const RunnerQuery& aQuery, std::size_t aBegin, Best& aBest)
 {
-  const std::size_t count = aQuestion.mLoads.size();
+  const std::size_t count = aQuery.mLoads.size();
   for (std::size_t i = 0; i < count; ++i) {
     const std::size_t index = (aBegin + i) % count;
-    const Score score = ScoreOf<Kind>(aQuestion.mLoads[index]);
-    if (score < aBest.mScore && IsCandidate(aQuestion, index)) {
+    const Score score = ScoreOf<Kind>(aQuery.mLoads[index]);
+    if (score < aBest.mScore && IsCandidate(aQuery, index)) {
       aBest = { score, index };
     }
   }
 }
 
-/// The scan starts at the turn, so that equal runners take turns.
+/// Chooses the runner with the lowest score. The scan starts at another runner
+/// for each query, so that requests spread over runners with equal scores.
 template<RouteKind Kind>
 std::size_t
-Choose(const RunnerQuestion& aQuestion)
+Choose(const RunnerQuery& aQuery)
 {
-  const std::size_t count = aQuestion.mLoads.size();
-  const std::size_t begin = count == 0 ? 0 : aQuestion.mTurn % count;
+  const std::size_t count = aQuery.mLoads.size();
+  const std::size_t begin = count == 0 ? 0 : aQuery.mQueryNumber % count;
   Best best;
-  if (aQuestion.mTried.empty()) {
-    Scan<Kind>(aQuestion.mLoads, begin, count, best);
-    Scan<Kind>(aQuestion.mLoads, 0, begin, best);
+  if (aQuery.mTriedRunners.empty()) {
+    Scan<Kind>(aQuery.mLoads, begin, count, best);
+    Scan<Kind>(aQuery.mLoads, 0, begin, best);
   } else {
-    ScanUntried<Kind>(aQuestion, begin, best);
+    ScanUntried<Kind>(aQuery, begin, best);
   }
   return best.mIndex;
 }
 
-/// Chooses the runner with the least outstanding work, then the lowest recent
-/// latency.
+/// Chooses the runner with the fewest slots in use and, among those, the lowest
+/// recent latency.
 std::size_t
-ChooseLeastOutstanding(const RunnerQuestion& aQuestion)
+ChooseLeastOutstanding(const RunnerQuery& aQuery)
 {
-  return aQuestion.mKind == RouteKind::Watch
-           ? Choose<RouteKind::Watch>(aQuestion)
-           : Choose<RouteKind::Short>(aQuestion);
+  return aQuery.mKind == RouteKind::Watch ? Choose<RouteKind::Watch>(aQuery)
+                                          : Choose<RouteKind::Short>(aQuery);
 }
 
 const Registration<RoutingPolicy> kLeastOutstanding("least-outstanding",
--- a/Libraries/LibRouting/Policies/RoundRobin.cpp
+++ b/Libraries/LibRouting/Policies/RoundRobin.cpp
@@ -5,14 +5,15 @@
 
 namespace {
 
-/// Baseline: chooses the next runner with a free slot, whatever its load.
+/// Chooses the next runner with a free slot, whatever its load. This policy is
+/// the baseline that other policies are compared with.
 std::size_t
-ChooseRoundRobin(const RunnerQuestion& aQuestion)
+ChooseRoundRobin(const RunnerQuery& aQuery)
 {
-  const std::size_t count = aQuestion.mLoads.size();
+  const std::size_t count = aQuery.mLoads.size();
   for (std::size_t i = 0; i < count; ++i) {
-    const std::size_t index = (aQuestion.mTurn + i) % count;
-    if (IsCandidate(aQuestion, index)) {
+    const std::size_t index = (aQuery.mQueryNumber + i) % count;
+    if (IsCandidate(aQuery, index)) {
       return index;
     }
   }
--- a/Libraries/LibRouting/RetryBudget.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -4,32 +4,34 @@
 
 namespace paddle {
 
-/// Limits retries to a share of recent requests, so that a failing back end
-/// doesn't get a multiple of its load. Each request adds a fraction of a
-/// retry; the cap bounds how far back "recent" reaches.
+/// Token bucket that limits retries to a share of recent requests, so that a
+/// failing back end does not get a multiple of its load. Each request adds a
+/// fraction of a retry; the maximum bounds how many past requests count.
 struct RetryBudget
 {
-  double mShare = 0.10;
-  double mCap = 20; ///< The retries that 200 requests earn.
-  double mRetries = 20;
+  double mRetriesPerRequest = 0.10; ///< What each request adds.
+  double mMaxAvailableRetries = 20; ///< What 200 requests add.
+  double mAvailableRetries = 20;
 };
 
-/// Adds what one first try earns.
+/// Adds to the budget what the first try of a request adds.
 inline void
-EarnRetry(RetryBudget& aBudget)
+CreditRetryBudget(RetryBudget& aBudget)
 {
-  aBudget.mRetries = std::min(aBudget.mCap, aBudget.mRetries + aBudget.mShare);
+  aBudget.mAvailableRetries =
+    std::min(aBudget.mMaxAvailableRetries,
+             aBudget.mAvailableRetries + aBudget.mRetriesPerRequest);
 }
 
 /// Takes one retry from the budget.
-/// @return whether there was one
+/// @return whether there was one; otherwise the request must not be retried
 inline bool
-SpendRetry(RetryBudget& aBudget)
+TrySpendRetry(RetryBudget& aBudget)
 {
-  if (aBudget.mRetries < 1) {
+  if (aBudget.mAvailableRetries < 1) {
     return false;
   }
-  aBudget.mRetries -= 1;
+  aBudget.mAvailableRetries -= 1;
   return true;
 }
 
--- a/Libraries/LibRouting/Routing.cpp
+++ b/Libraries/LibRouting/Routing.cpp
@@ -9,18 +9,19 @@
 
 namespace {
 
-/// One event's surroundings, passed through the steps of a decision.
-struct Decision
+/// The state, the time, and the actions of the event that is being applied.
+struct DecisionContext
 {
   RoutingState& mState;
   MonotonicTime mNow;
   RoutingActions& mActions;
 };
 
+/// @return the time from @p aStart to @p aEnd; negative if the end is earlier
 Micros
-LeftUntil(MonotonicTime aEnd, MonotonicTime aNow)
+TimeBetween(MonotonicTime aEnd, MonotonicTime aStart)
 {
-  return std::chrono::duration_cast<Micros>(aEnd - aNow);
+  return std::chrono::duration_cast<Micros>(aEnd - aStart);
 }
 
 ServiceState&
@@ -29,6 +30,7 @@
   return aState.mServices[aRequest.mRequest.mService];
 }
 
+/// @return the number of usable slots at all runners of a service, free or not
 std::uint32_t
 UsableSlots(const ServiceState& aService)
 {
@@ -39,10 +41,10 @@
   return slots;
 }
 
-/// @return the expected time until an answer of a request that has @p aAhead
-///         requests before it in the queue
+/// @return the expected time until the answer to a request that has @p aAhead
+///         requests ahead of it in the queue
 Micros
-ExpectedTime(const ServiceState& aService, std::size_t aAhead)
+ExpectedResponseTime(const ServiceState& aService, std::size_t aAhead)
 {
   const double slots = std::max(1U, UsableSlots(aService));
   const double waiting =
@@ -50,50 +52,57 @@
   return Micros(static_cast<Micros::rep>(waiting + aService.mMeanServiceUs));
 }
 
+/// @return the explanation of a decision with the current figures
 Explanation
-Explained(const Decision& aDecision,
-          const PendingRequest& aRequest,
-          DecisionKind aKind,
-          Rule aRule)
+MakeExplanation(const DecisionContext& aContext,
+                const PendingRequest& aRequest,
+                DecisionKind aKind,
+                RoutingRule aRule)
 {
-  const ServiceState& service = ServiceOf(aDecision.mState, aRequest);
+  const ServiceState& service = ServiceOf(aContext.mState, aRequest);
   Explanation explanation;
   explanation.mKind = aKind;
   explanation.mRule = aRule;
   explanation.mWaiting = static_cast<std::uint32_t>(service.mWaiting.size());
   explanation.mTries = aRequest.mTries;
-  explanation.mDeadlineLeft =
-    LeftUntil(aRequest.mRequest.mDeadline, aDecision.mNow);
-  explanation.mExpected =
+  explanation.mTimeToDeadline =
+    TimeBetween(aRequest.mRequest.mDeadline, aContext.mNow);
+  explanation.mExpectedResponseTime =
     Micros(static_cast<Micros::rep>(service.mMeanServiceUs));
   if (aKind != DecisionKind::Serve) {
-    // A scan of all runners, so not for the common case.
+    // This scans all runners, so the common case leaves it out.
     explanation.mFreeSlots = FreeSlots(service).mSlots;
-    explanation.mExpected = ExpectedTime(service, service.mWaiting.size());
+    explanation.mExpectedResponseTime =
+      ExpectedResponseTime(service, service.mWaiting.size());
   }
   return explanation;
 }
 
-/// Ends a request without an answer of its own; certainty decides the kind.
+/// Ends a request without an answer: as Unknown if it may have run, else as
+/// Refuse.
 void
-End(const Decision& aDecision, PendingRequest& aRequest, Rule aRule)
+EndRequest(const DecisionContext& aContext,
+           PendingRequest& aRequest,
+           RoutingRule aRule)
 {
   const DecisionKind kind =
     aRequest.mMayHaveRun ? DecisionKind::Unknown : DecisionKind::Refuse;
-  aDecision.mActions.emplace_back(GiveUp{
-    aRequest.mRequest.mNumber, Explained(aDecision, aRequest, kind, aRule) });
-  aDecision.mState.mPending.erase(aRequest.mRequest.mNumber);
+  aContext.mActions.emplace_back(
+    EndWithoutAnswer{ aRequest.mRequest.mNumber,
+                      MakeExplanation(aContext, aRequest, kind, aRule) });
+  aContext.mState.mPending.erase(aRequest.mRequest.mNumber);
 }
 
-/// When to give up one try. An idempotent request keeps time for another
-/// try, because the connection may be silent.
+/// @return the time at which one try fails without an answer. Half of the time
+///         to the deadline of an idempotent request is kept for another try,
+///         because the connection may have stopped without an error.
 MonotonicTime
-TryEnd(const RoutingSettings& aSettings,
-       const PendingRequest& aRequest,
-       MonotonicTime aNow)
+TryDeadline(const RoutingSettings& aSettings,
+            const PendingRequest& aRequest,
+            MonotonicTime aNow)
 {
   const RequestArrived& request = aRequest.mRequest;
-  const bool last = aRequest.mTries >= aSettings.mMostTries;
+  const bool last = aRequest.mTries >= aSettings.mMaxTries;
   if (request.mKind == RouteKind::Watch ||
       request.mIdempotent == Idempotent::No || last) {
     return request.mDeadline;
@@ -101,19 +110,22 @@
   return aNow + (request.mDeadline - aNow) / 2;
 }
 
+/// Sends a request to a runner of this process that has a free slot.
+/// @return whether there was such a runner
 bool
-TryOwnRunner(const Decision& aDecision, PendingRequest& aRequest)
+TrySendToOwnRunner(const DecisionContext& aContext, PendingRequest& aRequest)
 {
-  RoutingState& state = aDecision.mState;
+  RoutingState& state = aContext.mState;
   ServiceState& service = ServiceOf(state, aRequest);
-  RunnerQuestion question{
-    service.mLoads, aRequest.mRequest.mKind, service.mTurn++, aRequest.mTried
-  };
-  std::size_t chosen = state.mPolicy.mChoose(question);
-  if (chosen == kNoRunner && !aRequest.mTried.empty()) {
-    // Better the same runner again than no answer.
-    question.mTried = {};
-    chosen = state.mPolicy.mChoose(question);
+  RunnerQuery query{ service.mLoads,
+                     aRequest.mRequest.mKind,
+                     service.mQueryNumber++,
+                     aRequest.mTriedRunners };
+  std::size_t chosen = state.mPolicy.mChoose(query);
+  if (chosen == kNoRunner && !aRequest.mTriedRunners.empty()) {
+    // Another try at a runner that has failed is better than no answer.
+    query.mTriedRunners = {};
+    chosen = state.mPolicy.mChoose(query);
   }
   if (chosen == kNoRunner) {
     return false;
@@ -121,46 +133,51 @@
   aRequest.mRunner = { static_cast<std::uint32_t>(aRequest.mRequest.mService),
                        static_cast<std::uint32_t>(chosen) };
   aRequest.mHasRunner = true;
-  aRequest.mTryStarted = aDecision.mNow;
+  aRequest.mTryStarted = aContext.mNow;
   ++aRequest.mTries;
   TakeSlot(state, aRequest.mRunner, aRequest.mRequest.mKind);
   const ShardState& shard =
     state.mShards.find(service.mRunners[chosen].mShard)->second;
-  aDecision.mActions.emplace_back(
+  aContext.mActions.emplace_back(
     SendToRunner{ aRequest.mRequest.mNumber,
                   aRequest.mRunner,
                   shard.mEpoch,
-                  TryEnd(state.mSettings, aRequest, aDecision.mNow) });
+                  TryDeadline(state.mSettings, aRequest, aContext.mNow) });
   return true;
 }
 
-/// @return the free slots of a peer that count for a request
+/// @return the counter of the free slots of a peer for this kind of request, or
+///         null if the peer has reported nothing about the service
 std::uint32_t*
-UsefulSlots(PeerState& aPeer, const std::string& aService, RouteKind aKind)
+FreeSlotsAtPeer(PeerState& aPeer, const std::string& aService, RouteKind aKind)
 {
-  const auto free = aPeer.mFree.find(aService);
-  if (free == aPeer.mFree.end()) {
+  const auto free = aPeer.mFreeByService.find(aService);
+  if (free == aPeer.mFreeByService.end()) {
     return nullptr;
   }
   return aKind == RouteKind::Watch ? &free->second.mWatchSlots
                                    : &free->second.mSlots;
 }
 
+/// Forwards a request to the nearest peer with free slots; among peers at the
+/// same distance, to the one with the most.
+/// @return whether there was such a peer
 bool
-TryPeer(const Decision& aDecision, PendingRequest& aRequest)
+TryForwardToPeer(const DecisionContext& aContext, PendingRequest& aRequest)
 {
   if (aRequest.mForwarded || aRequest.mRequest.mOrigin == Origin::Peer) {
     return false;
   }
-  RoutingState& state = aDecision.mState;
+  RoutingState& state = aContext.mState;
   const std::string& service = ServiceOf(state, aRequest).mName;
   PeerState* best = nullptr;
   std::uint32_t* bestSlots = nullptr;
   for (PeerState& peer : state.mPeers) {
-    if (peer.mReported + state.mSettings.mSummaryLifetime < aDecision.mNow) {
+    if (peer.mReportedAt + state.mSettings.mMaxSummaryAge < aContext.mNow) {
       continue;
     }
-    std::uint32_t* slots = UsefulSlots(peer, service, aRequest.mRequest.mKind);
+    std::uint32_t* slots =
+      FreeSlotsAtPeer(peer, service, aRequest.mRequest.mKind);
     if (!slots || *slots == 0) {
       continue;
     }
@@ -175,63 +192,72 @@
   if (!best) {
     return false;
   }
-  --*bestSlots; // Until the next summary, so that one peer isn't flooded.
+  // The next summary replaces this count. Until then the decrement limits the
+  // requests that are forwarded to the peer.
+  --*bestSlots;
   aRequest.mForwarded = true;
   aRequest.mHasRunner = false;
   ++aRequest.mTries;
-  aDecision.mActions.emplace_back(
+  aContext.mActions.emplace_back(
     ForwardToPeer{ aRequest.mRequest.mNumber, best->mName });
   return true;
 }
 
-/// @return the rule by which a request may not wait, if there is one
-std::optional<Rule>
-RefusalToWait(const Decision& aDecision, const PendingRequest& aRequest)
+/// @return the rule that forbids a request to wait, or nothing if it may wait
+std::optional<RoutingRule>
+RuleAgainstWaiting(const DecisionContext& aContext,
+                   const PendingRequest& aRequest)
 {
-  const ServiceState& service = ServiceOf(aDecision.mState, aRequest);
+  const ServiceState& service = ServiceOf(aContext.mState, aRequest);
   if (UsableSlots(service) == 0) {
-    return Rule::NoRunner;
+    return RoutingRule::NoRunner;
   }
   if (aRequest.mRequest.mKind == RouteKind::Watch) {
-    return Rule::WatchShare;
+    return RoutingRule::WatchShare;
   }
-  if (service.mWaiting.size() >= aDecision.mState.mSettings.mMostWaiting) {
-    return Rule::QueueFull;
+  if (service.mWaiting.size() >=
+      aContext.mState.mSettings.mMaxWaitingRequests) {
+    return RoutingRule::QueueFull;
   }
-  const Micros left = LeftUntil(aRequest.mRequest.mDeadline, aDecision.mNow);
-  if (ExpectedTime(service, service.mWaiting.size() + 1) > left) {
-    return Rule::DeadlineTooShort;
+  const Micros left = TimeBetween(aRequest.mRequest.mDeadline, aContext.mNow);
+  if (ExpectedResponseTime(service, service.mWaiting.size() + 1) > left) {
+    return RoutingRule::DeadlineTooShort;
   }
   return std::nullopt;
 }
 
-/// Finds a place for a request: own runner, peer, or the queue.
+/// Sends a request to an own runner or a peer, or else adds it to the queue or
+/// ends it.
 void
-Place(const Decision& aDecision, PendingRequest& aRequest)
+PlaceRequest(const DecisionContext& aContext, PendingRequest& aRequest)
 {
-  if (TryOwnRunner(aDecision, aRequest) || TryPeer(aDecision, aRequest)) {
+  if (TrySendToOwnRunner(aContext, aRequest) ||
+      TryForwardToPeer(aContext, aRequest)) {
     return;
   }
-  if (const auto rule = RefusalToWait(aDecision, aRequest)) {
-    End(aDecision, aRequest, *rule);
+  if (const auto rule = RuleAgainstWaiting(aContext, aRequest)) {
+    EndRequest(aContext, aRequest, *rule);
     return;
   }
-  aDecision.mActions.emplace_back(Explain{
+  aContext.mActions.emplace_back(RecordExplanation{
     aRequest.mRequest.mNumber,
-    Explained(aDecision, aRequest, DecisionKind::Delay, Rule::WaitsForSlot) });
+    MakeExplanation(
+      aContext, aRequest, DecisionKind::Delay, RoutingRule::WaitsForSlot) });
   aRequest.mWaiting = true;
-  ServiceOf(aDecision.mState, aRequest)
+  ServiceOf(aContext.mState, aRequest)
     .mWaiting.push_back(aRequest.mRequest.mNumber);
 }
 
-/// Places waiting requests, oldest first, until one finds no place.
+/// Sends waiting requests to own runners or peers, oldest first, until there is
+/// no free slot for one.
 void
-PlaceWaiting(const Decision& aDecision, ServiceState& aService)
+PlaceWaitingRequests(const DecisionContext& aContext, ServiceState& aService)
 {
   while (!aService.mWaiting.empty()) {
     PendingRequest& request =
-      aDecision.mState.mPending.at(aService.mWaiting.front());
-    if (!TryOwnRunner(aDecision, request) && !TryPeer(aDecision, request)) {
+      aContext.mState.mPending.at(aService.mWaiting.front());
+    if (!TrySendToOwnRunner(aContext, request) &&
+        !TryForwardToPeer(aContext, request)) {
       return;
     }
     request.mWaiting = false;
@@ -239,185 +265,203 @@
   }
 }
 
-/// Refuses waiting requests that can't be answered in time any more.
+/// Ends the waiting requests that can no longer be answered before their
+/// deadlines.
 void
-RefuseLate(const Decision& aDecision, ServiceState& aService)
+RefuseLateRequests(const DecisionContext& aContext, ServiceState& aService)
 {
   std::vector<RequestNumber> late;
   const auto service =
     Micros(static_cast<Micros::rep>(aService.mMeanServiceUs));
   std::erase_if(aService.mWaiting, [&](RequestNumber aNumber) {
-    const PendingRequest& request = aDecision.mState.mPending.at(aNumber);
-    if (aDecision.mNow + service <= request.mRequest.mDeadline) {
+    const PendingRequest& request = aContext.mState.mPending.at(aNumber);
+    if (aContext.mNow + service <= request.mRequest.mDeadline) {
       return false;
     }
     late.push_back(aNumber);
     return true;
   });
   for (const RequestNumber number : late) {
-    End(aDecision, aDecision.mState.mPending.at(number), Rule::DeadlinePassed);
+    EndRequest(aContext,
+               aContext.mState.mPending.at(number),
+               RoutingRule::DeadlinePassed);
   }
 }
 
+/// Starts a health probe of a runner unless one is in progress.
 void
-StartProbe(const Decision& aDecision, const RunnerRef& aRunner)
+StartProbe(const DecisionContext& aContext, const RunnerRef& aRunner)
 {
   Runner& runner =
-    aDecision.mState.mServices[aRunner.mService].mRunners[aRunner.mRunner];
-  if (runner.mProbing) {
+    aContext.mState.mServices[aRunner.mService].mRunners[aRunner.mRunner];
+  if (runner.mProbeInProgress) {
     return;
   }
-  runner.mProbing = true;
-  aDecision.mActions.emplace_back(ProbeRunner{ aRunner });
+  runner.mProbeInProgress = true;
+  aContext.mActions.emplace_back(ProbeRunner{ aRunner });
 }
 
-/// Counts a failure on a new connection.
+/// Records that a new connection to a runner failed. After several consecutive
+/// failures the runner is suspect and gets no requests.
 void
-CountFailure(const Decision& aDecision, const RunnerRef& aRunner)
+RecordFailure(const DecisionContext& aContext, const RunnerRef& aRunner)
 {
-  RoutingState& state = aDecision.mState;
+  RoutingState& state = aContext.mState;
   ServiceState& service = state.mServices[aRunner.mService];
   Runner& runner = service.mRunners[aRunner.mRunner];
   ++runner.mFailures;
-  runner.mNextProbe = aDecision.mNow + state.mSettings.mProbeInterval;
+  runner.mNextProbe = aContext.mNow + state.mSettings.mProbeInterval;
   if (runner.mFailures >= state.mSettings.mFailuresUntilSuspect &&
       !runner.mSuspect) {
     runner.mSuspect = true;
-    RefreshUsableSlots(state, service, aDecision.mNow);
+    RefreshUsableSlots(state, service, aContext.mNow);
   }
 }
 
+/// Records that a runner answered. It is no longer suspect.
 void
-CountSuccess(const Decision& aDecision, const RunnerRef& aRunner)
+RecordSuccess(const DecisionContext& aContext, const RunnerRef& aRunner)
 {
-  ServiceState& service = aDecision.mState.mServices[aRunner.mService];
+  ServiceState& service = aContext.mState.mServices[aRunner.mService];
   Runner& runner = service.mRunners[aRunner.mRunner];
   runner.mFailures = 0;
   if (runner.mSuspect) {
     runner.mSuspect = false;
-    RefreshUsableSlots(aDecision.mState, service, aDecision.mNow);
+    RefreshUsableSlots(aContext.mState, service, aContext.mNow);
   }
 }
 
-/// Updates the decayed means after an answer.
+/// Updates the decayed mean latencies of the service and the runner after an
+/// answer. Watches do not count.
 void
-LearnLatency(const Decision& aDecision, const PendingRequest& aRequest)
+UpdateLatencyMeans(const DecisionContext& aContext,
+                   const PendingRequest& aRequest)
 {
   if (aRequest.mRequest.mKind == RouteKind::Watch) {
     return;
   }
-  ServiceState& service = ServiceOf(aDecision.mState, aRequest);
-  const double share = aDecision.mState.mSettings.mNewLatencyShare;
+  ServiceState& service = ServiceOf(aContext.mState, aRequest);
+  const double share = aContext.mState.mSettings.mLatencySmoothing;
   const auto latency = static_cast<double>(
-    LeftUntil(aDecision.mNow, aRequest.mTryStarted).count());
-  const auto learn = [&](double aOld) {
-    return aOld == 0 ? latency : aOld + (latency - aOld) * share;
+    TimeBetween(aContext.mNow, aRequest.mTryStarted).count());
+  const auto update = [&](double aOldMean) {
+    return aOldMean == 0 ? latency : aOldMean + (latency - aOldMean) * share;
   };
-  service.mMeanServiceUs = learn(service.mMeanServiceUs);
+  service.mMeanServiceUs = update(service.mMeanServiceUs);
   RunnerLoad& load = service.mLoads[aRequest.mRunner.mRunner];
-  load.mLatencyUs = static_cast<float>(learn(load.mLatencyUs));
+  load.mLatencyUs = static_cast<float>(update(load.mLatencyUs));
 }
 
-/// @return when a request of the present try surely runs no longer
+/// @return the time by which the runner of the current try has certainly
+/// stopped
+///         working on the request
 MonotonicTime
-LatestEnd(const RoutingState& aState, const PendingRequest& aRequest)
+LatestPossibleEnd(const RoutingState& aState, const PendingRequest& aRequest)
 {
   const ServiceLimits& limits =
     aState.mServices[aRequest.mRequest.mService].mLimits;
   const Millis longest = aRequest.mRequest.mKind == RouteKind::Watch
                            ? limits.mLongestWatch
                            : limits.mLongestRun;
-  return aRequest.mTryStarted + aState.mSettings.mLongestSend + longest;
+  return aRequest.mTryStarted + aState.mSettings.mMaxSendDelay + longest;
 }
 
-/// Takes back the slot of a try. The runner may still work on a request that
-/// ended without certainty, also past the deadline that only its caller knows.
+/// Releases the slot of a try, or holds it if the request may still run. The
+/// runner may work on a request past its deadline, because only the caller
+/// knows the deadline.
 void
-ReturnSlot(const Decision& aDecision,
-           PendingRequest& aRequest,
-           TryResult aResult)
+ReleaseOrHoldSlot(const DecisionContext& aContext,
+                  PendingRequest& aRequest,
+                  TryResult aResult)
 {
   if (!aRequest.mHasRunner) {
     return;
   }
   aRequest.mHasRunner = false;
-  const MonotonicTime end = LatestEnd(aDecision.mState, aRequest);
+  const MonotonicTime end = LatestPossibleEnd(aContext.mState, aRequest);
   const bool mayRun =
-    aResult == TryResult::Broken || aResult == TryResult::TimedOut;
-  if (mayRun && aDecision.mNow < end) {
-    aDecision.mState.mHolds.push_back(
+    aResult == TryResult::NoValidAnswer || aResult == TryResult::TimedOut;
+  if (mayRun && aContext.mNow < end) {
+    aContext.mState.mSlotHolds.push_back(
       { aRequest.mRunner, aRequest.mRequest.mKind, end });
     return;
   }
-  FreeSlot(aDecision.mState, aRequest.mRunner, aRequest.mRequest.mKind);
+  ReleaseSlot(aContext.mState, aRequest.mRunner, aRequest.mRequest.mKind);
 }
 
+/// Updates the health of a runner after a try and starts a probe if the result
+/// does not show whether the runner works.
 void
-JudgeRunner(const Decision& aDecision,
-            const RunnerRef& aRunner,
-            TryResult aResult)
+UpdateRunnerHealth(const DecisionContext& aContext,
+                   const RunnerRef& aRunner,
+                   TryResult aResult)
 {
   switch (aResult) {
     case TryResult::Answered:
-      CountSuccess(aDecision, aRunner);
+      RecordSuccess(aContext, aRunner);
       return;
     case TryResult::NotSent:
-      // The connection was new, so this counts; the probe finds out soon
-      // whether it was an accident.
-      CountFailure(aDecision, aRunner);
-      StartProbe(aDecision, aRunner);
+      // The connection was new, so this counts as a failure of the runner. The
+      // probe shows soon whether it was a single failure.
+      RecordFailure(aContext, aRunner);
+      StartProbe(aContext, aRunner);
       return;
-    case TryResult::Broken:
+    case TryResult::NoValidAnswer:
     case TryResult::TimedOut:
-      // The connection may be at fault; only the probe judges the runner.
-      StartProbe(aDecision, aRunner);
+      // The fault may be in the connection, so only the probe decides whether
+      // the runner has failed.
+      StartProbe(aContext, aRunner);
       return;
-    case TryResult::Withheld:
-    case TryResult::PeerNotRun:
+    case TryResult::ShardNotOwned:
+    case TryResult::RefusedByPeer:
       return;
   }
 }
 
-/// @return the rule that forbids another try, if there is one
-std::optional<Rule>
-RefusalToRetry(const Decision& aDecision,
-               const PendingRequest& aRequest,
-               TryResult aResult)
+/// Takes a retry from the budget if the failure may be the runner's fault.
+/// @return the rule that forbids another try, or nothing if it is allowed
+std::optional<RoutingRule>
+RuleAgainstRetry(const DecisionContext& aContext,
+                 const PendingRequest& aRequest,
+                 TryResult aResult)
 {
-  RoutingState& state = aDecision.mState;
+  RoutingState& state = aContext.mState;
   if (aRequest.mMayHaveRun && aRequest.mRequest.mIdempotent == Idempotent::No) {
-    return Rule::NotRepeatable;
+    return RoutingRule::NotRepeatable;
   }
-  if (aRequest.mRequest.mDeadline <= aDecision.mNow) {
-    return Rule::DeadlinePassed;
+  if (aRequest.mRequest.mDeadline <= aContext.mNow) {
+    return RoutingRule::DeadlinePassed;
   }
-  if (aRequest.mTries >= state.mSettings.mMostTries) {
-    return aResult == TryResult::Withheld ? Rule::ShardMoved : Rule::TriesSpent;
+  if (aRequest.mTries >= state.mSettings.mMaxTries) {
+    return aResult == TryResult::ShardNotOwned ? RoutingRule::ShardMoved
+                                               : RoutingRule::TriesSpent;
   }
   const bool noFault =
-    aResult == TryResult::PeerNotRun || aResult == TryResult::Withheld;
-  if (!noFault && !SpendRetry(state.mRetryBudget)) {
-    return Rule::RetryBudgetSpent;
+    aResult == TryResult::RefusedByPeer || aResult == TryResult::ShardNotOwned;
+  if (!noFault && !TrySpendRetry(state.mRetryBudget)) {
+    return RoutingRule::RetryBudgetSpent;
   }
   return std::nullopt;
 }
 
+/// Tries a request again after a failed try, or ends it if a rule forbids that.
 void
-ContinueAfterFailure(const Decision& aDecision,
-                     PendingRequest& aRequest,
-                     TryResult aResult)
+RetryOrEnd(const DecisionContext& aContext,
+           PendingRequest& aRequest,
+           TryResult aResult)
 {
-  if (aResult == TryResult::Broken || aResult == TryResult::TimedOut) {
+  if (aResult == TryResult::NoValidAnswer || aResult == TryResult::TimedOut) {
     aRequest.mMayHaveRun = true;
   }
-  if (const auto rule = RefusalToRetry(aDecision, aRequest, aResult)) {
-    End(aDecision, aRequest, *rule);
+  if (const auto rule = RuleAgainstRetry(aContext, aRequest, aResult)) {
+    EndRequest(aContext, aRequest, *rule);
     return;
   }
-  aDecision.mActions.emplace_back(Explain{
+  aContext.mActions.emplace_back(RecordExplanation{
     aRequest.mRequest.mNumber,
-    Explained(aDecision, aRequest, DecisionKind::Delay, Rule::Retried) });
-  Place(aDecision, aRequest);
+    MakeExplanation(
+      aContext, aRequest, DecisionKind::Delay, RoutingRule::Retried) });
+  PlaceRequest(aContext, aRequest);
 }
 
 } // namespace
@@ -428,24 +472,24 @@
       MonotonicTime aNow,
       RoutingActions& aActions)
 {
-  const Decision decision{ aState, aNow, aActions };
+  const DecisionContext context{ aState, aNow, aActions };
   PendingRequest& request = aState.mPending[aEvent.mNumber];
   request.mRequest = aEvent;
-  EarnRetry(aState.mRetryBudget);
+  CreditRetryBudget(aState.mRetryBudget);
   ServiceState& service = ServiceOf(aState, request);
   const bool tooLate =
     aEvent.mKind == RouteKind::Short &&
     aNow + Micros(static_cast<Micros::rep>(service.mMeanServiceUs)) >
       aEvent.mDeadline;
   if (tooLate) {
-    // Without answers the estimate would never change, so that a high one
-    // could refuse forever. Each refusal lowers it a little.
+    // Only answers update the estimate, so a high estimate could refuse all
+    // requests forever. Each refusal therefore lowers it a little.
     constexpr double kDecayPerRefusal = 0.98;
     service.mMeanServiceUs *= kDecayPerRefusal;
-    End(decision, request, Rule::DeadlineTooShort);
+    EndRequest(context, request, RoutingRule::DeadlineTooShort);
     return;
   }
-  Place(decision, request);
+  PlaceRequest(context, request);
 }
 
 void
@@ -458,29 +502,29 @@
   if (found == aState.mPending.end()) {
     return;
   }
-  const Decision decision{ aState, aNow, aActions };
+  const DecisionContext context{ aState, aNow, aActions };
   PendingRequest& request = found->second;
   ServiceState& service = ServiceOf(aState, request);
   if (request.mHasRunner) {
-    JudgeRunner(decision, request.mRunner, aEvent.mResult);
+    UpdateRunnerHealth(context, request.mRunner, aEvent.mResult);
     if (aEvent.mResult == TryResult::Answered) {
-      LearnLatency(decision, request);
+      UpdateLatencyMeans(context, request);
     } else {
-      request.mTried.push_back(request.mRunner.mRunner);
+      request.mTriedRunners.push_back(request.mRunner.mRunner);
     }
   }
-  const Rule served =
-    request.mHasRunner ? Rule::FreeSlot : Rule::ForwardedToPeer;
-  ReturnSlot(decision, request, aEvent.mResult);
+  const RoutingRule served =
+    request.mHasRunner ? RoutingRule::FreeSlot : RoutingRule::ForwardedToPeer;
+  ReleaseOrHoldSlot(context, request, aEvent.mResult);
   if (aEvent.mResult == TryResult::Answered) {
-    aActions.emplace_back(
-      Explain{ aEvent.mNumber,
-               Explained(decision, request, DecisionKind::Serve, served) });
+    aActions.emplace_back(RecordExplanation{
+      aEvent.mNumber,
+      MakeExplanation(context, request, DecisionKind::Serve, served) });
     aState.mPending.erase(found);
   } else {
-    ContinueAfterFailure(decision, request, aEvent.mResult);
+    RetryOrEnd(context, request, aEvent.mResult);
   }
-  PlaceWaiting(decision, service);
+  PlaceWaitingRequests(context, service);
 }
 
 void
@@ -489,14 +533,14 @@
       MonotonicTime aNow,
       RoutingActions& aActions)
 {
-  const Decision decision{ aState, aNow, aActions };
+  const DecisionContext context{ aState, aNow, aActions };
   ServiceState& service = aState.mServices[aEvent.mRunner.mService];
-  service.mRunners[aEvent.mRunner.mRunner].mProbing = false;
+  service.mRunners[aEvent.mRunner.mRunner].mProbeInProgress = false;
   if (aEvent.mHealthy) {
-    CountSuccess(decision, aEvent.mRunner);
-    PlaceWaiting(decision, service);
+    RecordSuccess(context, aEvent.mRunner);
+    PlaceWaitingRequests(context, service);
   } else {
-    CountFailure(decision, aEvent.mRunner);
+    RecordFailure(context, aEvent.mRunner);
   }
 }
 
@@ -509,7 +553,7 @@
   UpdateRunners(aState, aEvent);
   ServiceState& service = aState.mServices[FindService(aState, aEvent.mName)];
   RefreshUsableSlots(aState, service, aNow);
-  PlaceWaiting({ aState, aNow, aActions }, service);
+  PlaceWaitingRequests({ aState, aNow, aActions }, service);
 }
 
 void
@@ -521,8 +565,8 @@
   ShardState& shard = aState.mShards[aEvent.mShard];
   shard.mOwned = true;
   shard.mEpoch = aEvent.mOwnership.mEpoch;
-  shard.mShortsFreeFrom = aEvent.mOwnership.mSince;
-  shard.mWatchesFreeFrom = aEvent.mOwnership.mSince;
+  shard.mShortRequestsEndBy = aEvent.mOwnership.mSince;
+  shard.mWatchesEndBy = aEvent.mOwnership.mSince;
   const Acquisition acquisition = aEvent.mOwnership.mAcquisition;
   Millis longestRun{ 0 };
   Millis longestWatch{ 0 };
@@ -531,19 +575,19 @@
     longestWatch = std::max(longestWatch, service.mLimits.mLongestWatch);
   }
   if (acquisition != Acquisition::FirstOwner) {
-    // A hand-over doesn't wait for watches: the runners would serve nobody for
-    // minutes. Their slots count as taken here instead.
-    shard.mWatchesFreeFrom += longestWatch;
+    // A hand-over does not wait for watches, because the runners would serve no
+    // requests for minutes. The new owner counts their slots as in use instead.
+    shard.mWatchesEndBy += longestWatch;
   }
   if (acquisition == Acquisition::Successor ||
       acquisition == Acquisition::Takeover) {
-    // The predecessor's lease had ended when this process became the owner,
-    // so its last request was assigned before that.
-    shard.mShortsFreeFrom += aState.mSettings.mLongestSend + longestRun;
+    // The previous owner's lease had ended when this process became the owner,
+    // so it had assigned its last request before that.
+    shard.mShortRequestsEndBy += aState.mSettings.mMaxSendDelay + longestRun;
   }
   RefreshAllUsableSlots(aState, aNow);
   for (ServiceState& service : aState.mServices) {
-    PlaceWaiting({ aState, aNow, aActions }, service);
+    PlaceWaitingRequests({ aState, aNow, aActions }, service);
   }
 }
 
@@ -572,11 +616,11 @@
     peer = std::prev(aState.mPeers.end());
   }
   peer->mDistance = aEvent.mDistance;
-  peer->mReported = aNow;
-  peer->mFree.clear();
-  peer->mFree.insert(aEvent.mServices.begin(), aEvent.mServices.end());
+  peer->mReportedAt = aNow;
+  peer->mFreeByService.clear();
+  peer->mFreeByService.insert(aEvent.mServices.begin(), aEvent.mServices.end());
   for (ServiceState& service : aState.mServices) {
-    PlaceWaiting({ aState, aNow, aActions }, service);
+    PlaceWaitingRequests({ aState, aNow, aActions }, service);
   }
 }
 
@@ -586,17 +630,17 @@
       MonotonicTime aNow,
       RoutingActions& aActions)
 {
-  const Decision decision{ aState, aNow, aActions };
-  ReleaseHolds(aState, aNow);
+  const DecisionContext context{ aState, aNow, aActions };
+  ReleaseExpiredHolds(aState, aNow);
   RefreshAllUsableSlots(aState, aNow);
   for (std::uint32_t s = 0; s < aState.mServices.size(); ++s) {
     ServiceState& service = aState.mServices[s];
-    PlaceWaiting(decision, service);
-    RefuseLate(decision, service);
+    PlaceWaitingRequests(context, service);
+    RefuseLateRequests(context, service);
     for (std::uint32_t r = 0; r < service.mRunners.size(); ++r) {
       const Runner& runner = service.mRunners[r];
       if (runner.mListed && runner.mFailures > 0 && runner.mNextProbe <= aNow) {
-        StartProbe(decision, { s, r });
+        StartProbe(context, { s, r });
       }
     }
   }
--- a/Libraries/LibRouting/Routing.h
+++ b/Libraries/LibRouting/Routing.h
@@ -6,8 +6,9 @@
 
 namespace paddle {
 
-// Each function takes one event and appends the actions that follow from it.
-// They have no side effect outside the state.
+// The routing core assigns requests to runner slots. Each function applies one
+// event to the state and appends the actions that the caller must carry out.
+// The functions change nothing but the state and the list of actions.
 
 void
 Apply(RoutingState& aState,
--- a/Libraries/LibRouting/RoutingActions.h
+++ b/Libraries/LibRouting/RoutingActions.h
@@ -10,83 +10,88 @@
 
 namespace paddle {
 
-/// Send the request to a runner now.
+/// Action: send the request to a runner now.
 struct SendToRunner
 {
   RequestNumber mNumber = 0;
   RunnerRef mRunner;
-  std::uint64_t mEpoch = 0; ///< Of the shard when the slot was assigned.
-  MonotonicTime mTryEnds{}; ///< When to give this try up.
+  std::uint64_t mEpoch = 0; ///< Epoch of the shard when the slot was assigned.
+  MonotonicTime mTryDeadline{}; ///< This try fails without an answer by then.
 };
 
-/// Forward the request to a peer gateway now.
+/// Action: forward the request to a peer gateway now.
 struct ForwardToPeer
 {
   RequestNumber mNumber = 0;
   std::string mPeer;
 };
 
-/// The rule that led to a decision, for the customer affected.
-enum class Rule
+/// The rule that led to a decision. It is recorded so that the decision can be
+/// explained to the client account affected.
+enum class RoutingRule
 {
-  FreeSlot,         ///< Served by a runner with a free slot.
-  ForwardedToPeer,  ///< Own runners are full; a peer had free slots.
-  WaitsForSlot,     ///< All slots are taken; it waits for one.
+  FreeSlot,         ///< A runner with a free slot served the request.
+  ForwardedToPeer,  ///< The own runners were full; a peer had free slots.
+  WaitsForSlot,     ///< All slots are in use; the request waits for one.
   Retried,          ///< A try failed and another was allowed.
   NoRunner,         ///< No usable runner is known.
-  WatchShare,       ///< The share of slots for watches is used up.
+  WatchShare,       ///< All slots that watches may use are in use.
   QueueFull,        ///< Too many requests wait already.
   DeadlineTooShort, ///< Waiting and service would exceed the deadline.
   DeadlinePassed,   ///< No slot became free before the deadline.
-  RetryBudgetSpent, ///< The share of retries is used up.
+  RetryBudgetSpent, ///< Retries have reached their share of requests.
   TriesSpent,       ///< All allowed tries failed.
-  NotRepeatable,    ///< It may have run and must not run twice.
+  NotRepeatable,    ///< The request may have run and must not run twice.
   ShardMoved        ///< The runner's owner changed before the send.
 };
 
+/// What was decided about a request.
 enum class DecisionKind
 {
   Serve,
   Delay,
-  Refuse,
-  Unknown
+  Refuse, ///< The request certainly has not run.
+  Unknown ///< The request ends without an answer but may have run.
 };
 
-/// The figures behind a decision.
+/// A decision with its rule and the figures that it was based on.
 struct Explanation
 {
   DecisionKind mKind = DecisionKind::Serve;
-  Rule mRule = Rule::FreeSlot;
-  std::uint32_t mFreeSlots = 0; ///< Of this process, when it was decided.
-  std::uint32_t mWaiting = 0;   ///< Requests ahead.
-  std::uint32_t mTries = 0;
-  Micros mExpected{ 0 }; ///< Expected waiting plus service.
-  Micros mDeadlineLeft{ 0 };
+  RoutingRule mRule = RoutingRule::FreeSlot;
+  std::uint32_t mFreeSlots = 0; ///< Free slots at the runners of this process.
+  std::uint32_t mWaiting = 0;   ///< Requests in the queue.
+  std::uint32_t mTries = 0;     ///< Tries of this request so far.
+  Micros mExpectedResponseTime{ 0 }; ///< Expected time of waiting and service.
+  Micros mTimeToDeadline{ 0 };       ///< Negative after the deadline.
 };
 
-/// Keep the explanation of a decision about a request.
-struct Explain
+/// Action: record the explanation of a decision about a request.
+struct RecordExplanation
 {
   RequestNumber mNumber = 0;
   Explanation mExplanation;
 };
 
-/// The request ends without an answer from a runner: refused if it surely has
-/// not run, unknown otherwise.
-struct GiveUp
+/// Action: end the request without an answer from a runner. The explanation
+/// says Refuse if the request certainly has not run, and Unknown otherwise.
+struct EndWithoutAnswer
 {
   RequestNumber mNumber = 0;
   Explanation mExplanation;
 };
 
-/// Ask the runner's health path over a new connection.
+/// Action: request the runner's health path over a new connection.
 struct ProbeRunner
 {
   RunnerRef mRunner;
 };
 
-using RoutingAction =
-  std::variant<SendToRunner, ForwardToPeer, Explain, GiveUp, ProbeRunner>;
+using RoutingAction = std::variant<SendToRunner,
+                                   ForwardToPeer,
+                                   RecordExplanation,
+                                   EndWithoutAnswer,
+                                   ProbeRunner>;
 using RoutingActions = std::vector<RoutingAction>;
 
 } // namespace paddle
--- a/Libraries/LibRouting/RoutingEvents.h
+++ b/Libraries/LibRouting/RoutingEvents.h
@@ -11,31 +11,31 @@
 
 namespace paddle {
 
-/// Number of a request within one process.
+/// Number of a request, unique within one process.
 using RequestNumber = std::uint64_t;
 
-/// A runner by its place in the state.
+/// Identifies a runner by its indices in RoutingState.
 struct RunnerRef
 {
-  std::uint32_t mService = 0;
-  std::uint32_t mRunner = 0;
+  std::uint32_t mService = 0; ///< Index into RoutingState::mServices.
+  std::uint32_t mRunner = 0;  ///< Index into ServiceState::mRunners.
 
   bool operator==(const RunnerRef&) const = default;
 };
 
-/// Whether a request came from a peer that had no free slot. Such a request
-/// is not forwarded again.
+/// Where a request came from. A request that a peer gateway forwarded, because
+/// it had no free slot, is not forwarded again.
 enum class Origin
 {
   Caller,
   Peer
 };
 
-/// A request that wants a slot.
+/// Event: a request has arrived and needs a slot.
 struct RequestArrived
 {
   RequestNumber mNumber = 0;
-  std::size_t mService = 0;
+  std::size_t mService = 0; ///< Index into RoutingState::mServices.
   RouteKind mKind = RouteKind::Short;
   Idempotent mIdempotent = Idempotent::No;
   Origin mOrigin = Origin::Caller;
@@ -45,38 +45,42 @@
 /// How one try of a request ended.
 enum class TryResult
 {
-  Answered,  ///< A complete answer that belongs to the request.
-  NotSent,   ///< The connection was refused: surely not run.
-  Withheld,  ///< Not sent, because this process lost the runner's shard.
-  Broken,    ///< Closed, truncated, or the answer of another request.
-  TimedOut,  ///< No answer in time; the runner may still work on it.
-  PeerNotRun ///< A peer refused it: surely not run.
+  Answered,      ///< A complete answer to this request arrived.
+  NotSent,       ///< The connection was refused: certainly not run.
+  ShardNotOwned, ///< Not sent: this process lost the runner's shard.
+  /// The connection closed, or the answer was truncated or belongs to another
+  /// request: the request may have run.
+  NoValidAnswer,
+  TimedOut,     ///< No answer in time: it may have run or still run.
+  RefusedByPeer ///< A peer refused it: certainly not run.
 };
 
+/// Event: a try of a request at a runner or a peer has ended.
 struct TryEnded
 {
   RequestNumber mNumber = 0;
   TryResult mResult = TryResult::Answered;
 };
 
-/// The result of a probe over a new connection.
+/// Event: a health probe over a new connection has ended.
 struct ProbeEnded
 {
   RunnerRef mRunner;
   bool mHealthy = false;
 };
 
-/// One runner as the host list shows it.
+/// One runner as the host list describes it.
 struct ListedRunner
 {
   std::string mName;
   std::string mHost;
   std::uint16_t mPort = 0;
   std::string mShard;
-  bool mLeaving = false;
+  bool mLeaving = false; ///< The runner gets no new requests.
 };
 
-/// The document and the runners of one service; replaces what was known.
+/// Event: the limits and the runners of one service were read. They replace
+/// those that were known before.
 struct ServiceListed
 {
   std::string mName;
@@ -84,35 +88,35 @@
   std::vector<ListedRunner> mRunners;
 };
 
-/// This process became the owner of a runner shard.
+/// Event: this process became the owner of a runner shard.
 struct ShardAcquired
 {
   std::string mShard;
   Ownership mOwnership;
 };
 
-/// This process is not the owner of a runner shard any more.
+/// Event: this process is no longer the owner of a runner shard.
 struct ShardLost
 {
   std::string mShard;
 };
 
-/// What one gateway has free for requests of a service.
-struct PeerFree
+/// Number of free slots that one gateway has for requests of a service.
+struct PeerFreeSlots
 {
   std::uint32_t mSlots = 0;
   std::uint32_t mWatchSlots = 0;
 };
 
-/// A summary of a peer gateway.
+/// Event: a peer gateway sent the summary of its free slots.
 struct PeerReported
 {
   std::string mPeer;
-  std::uint32_t mDistance = 0;
-  std::vector<std::pair<std::string, PeerFree>> mServices;
+  std::uint32_t mDistance = 0; ///< As in PeerState.
+  std::vector<std::pair<std::string, PeerFreeSlots>> mServices;
 };
 
-/// Time has passed. Sent at least every few milliseconds.
+/// Event: time has passed. It is applied at least every few milliseconds.
 struct Tick
 {};
 
--- a/Libraries/LibRouting/RoutingPolicy.h
+++ b/Libraries/LibRouting/RoutingPolicy.h
@@ -8,46 +8,49 @@
 
 namespace paddle {
 
-/// What the choice of a runner depends on. Kept small and contiguous, because
-/// every decision scans all runners of a service.
+/// The load of one runner. It is small and stored contiguously, because each
+/// decision scans all runners of a service.
 struct RunnerLoad
 {
-  std::uint16_t mUsableSlots = 0; ///< 0 while the runner must get no request.
-  std::uint16_t mUsableWatchSlots = 0;
-  std::uint16_t mInUse = 0;   ///< Slots in use, watches among them.
-  std::uint16_t mWatches = 0; ///< Slots in use by watches.
-  float mLatencyUs = 0;       ///< Decayed mean of recent answers.
+  std::uint16_t mUsableSlots =
+    0; ///< 0 while the runner must not get a request.
+  std::uint16_t mUsableWatchSlots = 0; ///< Slots that watches may use.
+  std::uint16_t mSlotsInUse = 0;       ///< Includes the slots of watches.
+  std::uint16_t mWatchSlotsInUse = 0;
+  float mLatencyUs = 0; ///< Decayed mean latency of answers.
 };
 
-/// @return whether a request of this kind fits into the runner's free slots
+/// @return whether the runner has a free slot for a request of this kind
 inline bool
-CanTake(const RunnerLoad& aLoad, RouteKind aKind)
+HasFreeSlot(const RunnerLoad& aLoad, RouteKind aKind)
 {
-  return aLoad.mInUse < aLoad.mUsableSlots &&
+  return aLoad.mSlotsInUse < aLoad.mUsableSlots &&
          (aKind == RouteKind::Short ||
-          aLoad.mWatches < aLoad.mUsableWatchSlots);
+          aLoad.mWatchSlotsInUse < aLoad.mUsableWatchSlots);
 }
 
-/// Index that stands for "no runner".
+/// Index that means that there is no runner.
 inline constexpr std::size_t kNoRunner = static_cast<std::size_t>(-1);
 
-/// One question to a policy.
-struct RunnerQuestion
+/// The input of a policy for the choice of one runner.
+struct RunnerQuery
 {
   std::span<const RunnerLoad> mLoads;
   RouteKind mKind = RouteKind::Short;
-  std::uint64_t mTurn = 0;             ///< Rises with each question.
-  std::span<const std::size_t> mTried; ///< Runners that failed this request.
+  std::uint64_t mQueryNumber = 0; ///< Increases with each query to a service.
+  std::span<const std::size_t> mTriedRunners; ///< Runners that failed it.
 };
 
-/// @return whether the runner at @p aIndex may be the answer
+/// @return whether the runner at @p aIndex may be chosen: it has a free slot
+/// and
+///         has not failed this request
 inline bool
-IsCandidate(const RunnerQuestion& aQuestion, std::size_t aIndex)
+IsCandidate(const RunnerQuery& aQuery, std::size_t aIndex)
 {
-  if (!CanTake(aQuestion.mLoads[aIndex], aQuestion.mKind)) {
+  if (!HasFreeSlot(aQuery.mLoads[aIndex], aQuery.mKind)) {
     return false;
   }
-  for (const std::size_t tried : aQuestion.mTried) {
+  for (const std::size_t tried : aQuery.mTriedRunners) {
     if (tried == aIndex) {
       return false;
     }
@@ -55,11 +58,11 @@
   return true;
 }
 
-/// Plug-in that chooses the runner of a request.
+/// Plug-in that chooses the runner for a request.
 struct RoutingPolicy
 {
   /// @return the index of a candidate, or kNoRunner if there is none
-  std::size_t (*mChoose)(const RunnerQuestion&) = nullptr;
+  std::size_t (*mChoose)(const RunnerQuery&) = nullptr;
 };
 
 } // namespace paddle
--- a/Libraries/LibRouting/RoutingState.cpp
+++ b/Libraries/LibRouting/RoutingState.cpp
@@ -15,20 +15,20 @@
   return kNoService;
 }
 
-PeerFree
+PeerFreeSlots
 FreeSlots(const ServiceState& aService)
 {
-  PeerFree free;
+  PeerFreeSlots free;
   for (const RunnerLoad& load : aService.mLoads) {
-    if (load.mInUse >= load.mUsableSlots) {
+    if (load.mSlotsInUse >= load.mUsableSlots) {
       continue;
     }
     const auto slots =
-      static_cast<std::uint32_t>(load.mUsableSlots - load.mInUse);
+      static_cast<std::uint32_t>(load.mUsableSlots - load.mSlotsInUse);
     free.mSlots += slots;
-    if (load.mWatches < load.mUsableWatchSlots) {
-      free.mWatchSlots +=
-        std::min<std::uint32_t>(slots, load.mUsableWatchSlots - load.mWatches);
+    if (load.mWatchSlotsInUse < load.mUsableWatchSlots) {
+      free.mWatchSlots += std::min<std::uint32_t>(
+        slots, load.mUsableWatchSlots - load.mWatchSlotsInUse);
     }
   }
   return free;
@@ -39,16 +39,17 @@
             std::string_view aShard,
             MonotonicTime aNow)
 {
-  // This counts while the keeper withholds the shard for a hand-over too, so
-  // mOwned doesn't matter.
+  // The lease keeper reports the shard as not owned while it waits for this
+  // function before a hand-over, so mOwned does not matter here.
   const auto shard = aState.mShards.find(aShard);
-  if (shard != aState.mShards.end() && aNow < shard->second.mShortsFreeFrom) {
+  if (shard != aState.mShards.end() &&
+      aNow < shard->second.mShortRequestsEndBy) {
     return false;
   }
   for (const ServiceState& service : aState.mServices) {
     for (std::size_t i = 0; i < service.mRunners.size(); ++i) {
       if (service.mRunners[i].mShard == aShard &&
-          service.mLoads[i].mInUse > service.mLoads[i].mWatches) {
+          service.mLoads[i].mSlotsInUse > service.mLoads[i].mWatchSlotsInUse) {
         return false;
       }
     }
--- a/Libraries/LibRouting/RunnerTable.cpp
+++ b/Libraries/LibRouting/RunnerTable.cpp
@@ -6,30 +6,34 @@
 
 namespace {
 
-/// What a shard allows at each of its runners now.
+/// The number of slots that may be used now at a runner.
 struct ShardAllowance
 {
   std::uint32_t mSlots = 0;
   std::uint32_t mWatchSlots = 0;
 };
 
+/// @return the slots that may be used now at each runner of a shard
 ShardAllowance
 AllowanceOf(const ShardState& aShard,
             const ServiceLimits& aLimits,
             MonotonicTime aNow)
 {
-  if (!aShard.mOwned || aNow < aShard.mShortsFreeFrom) {
+  if (!aShard.mOwned || aNow < aShard.mShortRequestsEndBy) {
     return {};
   }
   const std::uint32_t slots =
     std::min(aLimits.mSlotsPerRunner, aLimits.mConnectionsPerRunner);
   const std::uint32_t watches = std::min(slots, aLimits.mWatchSlotsPerRunner);
-  if (aNow < aShard.mWatchesFreeFrom) {
+  if (aNow < aShard.mWatchesEndBy) {
     return { slots - watches, 0 };
   }
   return { slots, watches };
 }
 
+/// @return the slots that may be used now at a runner: none if it is not
+/// usable,
+///         else those of its shard
 ShardAllowance
 AllowanceOf(const RoutingState& aState,
             const ServiceState& aService,
@@ -46,9 +50,10 @@
   return AllowanceOf(shard->second, aService.mLimits, aNow);
 }
 
-/// @return the entry of a runner: its own, else a free one, else a new one
+/// @return the index of the entry of a runner: its own entry if there is one,
+///         else an unused or a new one
 std::size_t
-EntryFor(ServiceState& aService, const std::string& aName)
+FindOrAddRunner(ServiceState& aService, const std::string& aName)
 {
   std::size_t unused = kNoRunner;
   for (std::size_t i = 0; i < aService.mRunners.size(); ++i) {
@@ -56,8 +61,9 @@
     if (runner.mName == aName) {
       return i;
     }
-    // An entry with slots in use is still referred to by its requests.
-    if (!runner.mListed && !runner.mProbing && aService.mLoads[i].mInUse == 0) {
+    // Requests in flight still refer to an entry with slots in use.
+    if (!runner.mListed && !runner.mProbeInProgress &&
+        aService.mLoads[i].mSlotsInUse == 0) {
       unused = i;
     }
   }
@@ -107,11 +113,11 @@
   }
   ServiceState& service = aState.mServices[index];
   service.mLimits = aEvent.mLimits;
-  // Known runners stay listed until all entries are assigned, so that a new
-  // runner doesn't get the entry of one that is listed too.
+  // Known runners stay marked as listed until all entries are assigned, so that
+  // a new runner does not get the entry of another one in the list.
   std::vector<bool> listed(service.mRunners.size() + aEvent.mRunners.size());
   for (const ListedRunner& entry : aEvent.mRunners) {
-    const std::size_t at = EntryFor(service, entry.mName);
+    const std::size_t at = FindOrAddRunner(service, entry.mName);
     listed[at] = true;
     Runner& runner = service.mRunners[at];
     runner.mListed = true;
@@ -129,30 +135,30 @@
 TakeSlot(RoutingState& aState, const RunnerRef& aRunner, RouteKind aKind)
 {
   RunnerLoad& load = aState.mServices[aRunner.mService].mLoads[aRunner.mRunner];
-  ++load.mInUse;
+  ++load.mSlotsInUse;
   if (aKind == RouteKind::Watch) {
-    ++load.mWatches;
+    ++load.mWatchSlotsInUse;
   }
 }
 
 void
-FreeSlot(RoutingState& aState, const RunnerRef& aRunner, RouteKind aKind)
+ReleaseSlot(RoutingState& aState, const RunnerRef& aRunner, RouteKind aKind)
 {
   RunnerLoad& load = aState.mServices[aRunner.mService].mLoads[aRunner.mRunner];
-  --load.mInUse;
+  --load.mSlotsInUse;
   if (aKind == RouteKind::Watch) {
-    --load.mWatches;
+    --load.mWatchSlotsInUse;
   }
 }
 
 void
-ReleaseHolds(RoutingState& aState, MonotonicTime aNow)
+ReleaseExpiredHolds(RoutingState& aState, MonotonicTime aNow)
 {
-  std::erase_if(aState.mHolds, [&](const SlotHold& aHold) {
+  std::erase_if(aState.mSlotHolds, [&](const SlotHold& aHold) {
     if (aNow < aHold.mUntil) {
       return false;
     }
-    FreeSlot(aState, aHold.mRunner, aHold.mKind);
+    ReleaseSlot(aState, aHold.mRunner, aHold.mKind);
     return true;
   });
 }
--- a/Libraries/LibRouting/RunnerTable.h
+++ b/Libraries/LibRouting/RunnerTable.h
@@ -4,29 +4,31 @@
 
 namespace paddle {
 
-/// Sets what each runner of a service may take now from its list state,
-/// health, and the shard's owner.
+/// Sets the number of slots that each runner of a service may use now. It
+/// depends on the host list, the runner's health, and the owner of its shard.
 void
 RefreshUsableSlots(RoutingState& aState,
                    ServiceState& aService,
                    MonotonicTime aNow);
 
-/// RefreshUsableSlots() for all services.
+/// Calls RefreshUsableSlots() for all services.
 void
 RefreshAllUsableSlots(RoutingState& aState, MonotonicTime aNow);
 
-/// Takes over the list of runners and the limits of a service.
+/// Replaces the runners and the limits of a service by those of the event.
 void
 UpdateRunners(RoutingState& aState, const ServiceListed& aEvent);
 
+/// Marks one more slot of a runner as in use.
 void
 TakeSlot(RoutingState& aState, const RunnerRef& aRunner, RouteKind aKind);
 
+/// Marks one slot of a runner as free again.
 void
-FreeSlot(RoutingState& aState, const RunnerRef& aRunner, RouteKind aKind);
+ReleaseSlot(RoutingState& aState, const RunnerRef& aRunner, RouteKind aKind);
 
-/// Frees the held slots whose time has come.
+/// Releases the held slots whose requests have certainly ended.
 void
-ReleaseHolds(RoutingState& aState, MonotonicTime aNow);
+ReleaseExpiredHolds(RoutingState& aState, MonotonicTime aNow);
 
 } // namespace paddle
--- a/Tests/Bench/RequestRun.cpp
+++ b/Tests/Bench/RequestRun.cpp
@@ -51,7 +51,7 @@
   {
     mState.mPolicy = aPolicy;
     if (mAdmission == Admission::None) {
-      mState.mSettings.mMostWaiting = kBaselineWaiting;
+      mState.mSettings.mMaxWaitingRequests = kBaselineWaiting;
     }
   }
 
@@ -160,7 +160,7 @@
     }
     later.mAtS = mNowS + mRequests[aSend.mNumber].mServiceS * *slowdown;
     const double ends =
-      std::chrono::duration<double>(aSend.mTryEnds - kEpoch).count();
+      std::chrono::duration<double>(aSend.mTryDeadline - kEpoch).count();
     if (later.mAtS > ends) {
       later.mAtS = ends;
       later.mResult = TryResult::TimedOut;
@@ -168,7 +168,7 @@
     mLater.push(later);
   }
 
-  void Perform(const GiveUp& aGiveUp)
+  void Perform(const EndWithoutAnswer& aGiveUp)
   {
     const double waited = mNowS - mRequests[aGiveUp.mNumber].mArrivesS;
     if (aGiveUp.mExplanation.mKind == DecisionKind::Refuse) {
@@ -191,7 +191,7 @@
   }
 
   void Perform(const ForwardToPeer&) {}
-  void Perform(const Explain&) {}
+  void Perform(const RecordExplanation&) {}
 
   void Record(RequestNumber /*aNumber*/, double aLatencyS)
   {
--- a/Tests/LibLease/LeaseWorld.cpp
+++ b/Tests/LibLease/LeaseSimulation.cpp
@@ -1,4 +1,4 @@
-#include "LeaseWorld.h"
+#include "LeaseSimulation.h"
 
 #include <memory>
 
@@ -14,24 +14,24 @@
 constexpr VirtualTime kPromiseTimeout = Millis(500);
 
 /// A late write arrives at most this long after it was sent.
-constexpr std::uint64_t kLatestArrivalMs = 20000;
+constexpr std::uint64_t kMaxLateArrivalMs = 20000;
 
 } // namespace
 
-LeaseWorld::LeaseWorld(LeaseWorldSettings aSettings)
+LeaseSimulation::LeaseSimulation(LeaseSimulationSettings aSettings)
   : mSettings(aSettings)
   , mRandom(aSettings.mSeed)
 {
   for (unsigned i = 0; i < mSettings.mShards; ++i) {
-    mPlaces.push_back(
+    mShardPlaces.push_back(
       { "s" + std::to_string(i), i % 2 == 0 ? "dc-1" : "dc-2", "r1" });
   }
 }
 
 void
-LeaseWorld::Start(const std::string& aName,
-                  const std::string& aDataCentre,
-                  const std::string& aRegion)
+LeaseSimulation::Start(const std::string& aName,
+                       const std::string& aDataCentre,
+                       const std::string& aRegion)
 {
   Process& process = mProcesses[aName];
   process.mDataCentre = aDataCentre;
@@ -40,74 +40,76 @@
 }
 
 void
-LeaseWorld::Restart(const std::string& aName)
+LeaseSimulation::Restart(const std::string& aName)
 {
   Process& process = mProcesses.at(aName);
   process.mAlive = true;
-  ++process.mLife;
+  ++process.mStartCount;
   // Rates differ by up to 2% each way; quartz clocks differ by far less.
   process.mRate = 0.98 + 0.0001 * static_cast<double>(Random(401));
   process.mOffset = Seconds(Random(100000));
   process.mPausedUntil = mNow;
   const LeaseMember self{
-    aName,           aName + "." + std::to_string(process.mLife),
+    aName,           aName + "." + std::to_string(process.mStartCount),
     "gateway",       process.mDataCentre,
     process.mRegion, aName
   };
   process.mState = MakeLeaseState(mSettings.mTimes, self, LocalTime(process));
-  process.mState.mPlaces = mPlaces;
-  In(aName, mNow + Millis(Random(300)), [this, aName] { Work(aName); });
+  process.mState.mShardPlaces = mShardPlaces;
+  RunInProcess(
+    aName, mNow + Millis(Random(300)), [this, aName] { RunNextAction(aName); });
 }
 
 void
-LeaseWorld::Kill(const std::string& aName)
+LeaseSimulation::Kill(const std::string& aName)
 {
   mProcesses.at(aName).mAlive = false;
 }
 
 void
-LeaseWorld::Pause(const std::string& aName, VirtualTime aDuration)
+LeaseSimulation::Pause(const std::string& aName, VirtualTime aDuration)
 {
   mProcesses.at(aName).mPausedUntil = mNow + aDuration;
 }
 
 void
-LeaseWorld::Leave(const std::string& aName)
+LeaseSimulation::Leave(const std::string& aName)
 {
   Process& process = mProcesses.at(aName);
   BeginLeave(process.mState, LocalTime(process));
 }
 
 void
-LeaseWorld::CutFromStore(const std::string& aName, bool aCut)
+LeaseSimulation::PartitionFromStore(const std::string& aName, bool aPartitioned)
 {
-  mProcesses.at(aName).mCut = aCut;
+  mProcesses.at(aName).mPartitionedFromStore = aPartitioned;
 }
 
 void
-LeaseWorld::CutPeers(const std::string& aOne,
-                     const std::string& aOther,
-                     bool aCut)
+LeaseSimulation::PartitionPeers(const std::string& aOne,
+                                const std::string& aOther,
+                                bool aPartitioned)
 {
   for (const auto& pair :
        { std::pair(aOne, aOther), std::pair(aOther, aOne) }) {
-    if (aCut) {
-      mCutPeers.insert(pair);
+    if (aPartitioned) {
+      mPartitionedPeers.insert(pair);
     } else {
-      mCutPeers.erase(pair);
+      mPartitionedPeers.erase(pair);
     }
   }
 }
 
 void
-LeaseWorld::SetWriteFaults(unsigned aLostAnswers, unsigned aLateWrites)
+LeaseSimulation::SetWriteFaults(unsigned aLostAnswersPerMille,
+                                unsigned aLateWritesPerMille)
 {
-  mSettings.mLostAnswers = aLostAnswers;
-  mSettings.mLateWrites = aLateWrites;
+  mSettings.mLostAnswersPerMille = aLostAnswersPerMille;
+  mSettings.mLateWritesPerMille = aLateWritesPerMille;
 }
 
 void
-LeaseWorld::Release(const std::string& aName)
+LeaseSimulation::Release(const std::string& aName)
 {
   const std::string& incarnation =
     mProcesses.at(aName).mState.mSelf.mIncarnation;
@@ -117,7 +119,7 @@
 }
 
 void
-LeaseWorld::RunFor(VirtualTime aDuration)
+LeaseSimulation::RunFor(VirtualTime aDuration)
 {
   const VirtualTime end = mNow + aDuration;
   while (!mEvents.empty() && mEvents.top().mTime <= end) {
@@ -125,22 +127,22 @@
     mEvents.pop();
     mNow = event.mTime;
     event.mRun();
-    if (std::exchange(mChanged, false)) {
-      Check();
+    if (std::exchange(mStateChanged, false)) {
+      CheckAllShards();
     }
   }
   mNow = end;
-  Check();
+  CheckAllShards();
 }
 
 bool
-LeaseWorld::Alive(const std::string& aName) const
+LeaseSimulation::Alive(const std::string& aName) const
 {
   return mProcesses.at(aName).mAlive;
 }
 
 std::vector<std::string>
-LeaseWorld::OwnersOf(const std::string& aShard) const
+LeaseSimulation::OwnersOf(const std::string& aShard) const
 {
   std::vector<std::string> owners;
   for (const auto& [name, process] : mProcesses) {
@@ -153,11 +155,11 @@
 }
 
 int
-LeaseWorld::OwnedBy(const std::string& aName) const
+LeaseSimulation::OwnedBy(const std::string& aName) const
 {
   const Process& process = mProcesses.at(aName);
   int owned = 0;
-  for (const ShardPlace& place : mPlaces) {
+  for (const ShardPlace& place : mShardPlaces) {
     owned +=
       process.mAlive && FindOwned(process.mState, place.mId, LocalTime(process))
         ? 1
@@ -167,7 +169,7 @@
 }
 
 int
-LeaseWorld::Owned() const
+LeaseSimulation::Owned() const
 {
   int owned = 0;
   for (const auto& [name, process] : mProcesses) {
@@ -177,7 +179,7 @@
 }
 
 std::optional<HeldShard>
-LeaseWorld::Held(const std::string& aShard) const
+LeaseSimulation::Held(const std::string& aShard) const
 {
   const std::vector<std::string> owners = OwnersOf(aShard);
   if (owners.empty()) {
@@ -188,13 +190,13 @@
 }
 
 const LeaseState&
-LeaseWorld::StateOf(const std::string& aName) const
+LeaseSimulation::StateOf(const std::string& aName) const
 {
   return mProcesses.at(aName).mState;
 }
 
 MonotonicTime
-LeaseWorld::LocalTime(const Process& aProcess) const
+LeaseSimulation::LocalTime(const Process& aProcess) const
 {
   const VirtualTime local(static_cast<std::int64_t>(
     static_cast<double>(mNow.count()) * aProcess.mRate));
@@ -202,78 +204,79 @@
 }
 
 VirtualTime
-LeaseWorld::NetworkDelay()
+LeaseSimulation::NetworkDelay()
 {
   return VirtualTime(500 + Random(30000));
 }
 
 /// @return the time from a process to the store, or back
 VirtualTime
-LeaseWorld::StoreDelay()
+LeaseSimulation::StoreDelay()
 {
-  return mCallTime ? *mCallTime / 2 : NetworkDelay();
+  return mStoreCallTime ? *mStoreCallTime / 2 : NetworkDelay();
 }
 
 /// @return the time until a failed call returns, after it has reached the
 ///         store
 VirtualTime
-LeaseWorld::FailureDelay()
+LeaseSimulation::FailureDelay()
 {
-  return mCallTime ? *mCallTime / 2 : VirtualTime(Millis(Random(1000)));
+  return mStoreCallTime ? *mStoreCallTime / 2
+                        : VirtualTime(Millis(Random(1000)));
 }
 
 void
-LeaseWorld::At(VirtualTime aTime, std::function<void()> aRun)
+LeaseSimulation::RunAt(VirtualTime aTime, std::function<void()> aRun)
 {
   mEvents.push({ aTime, mNextOrder++, std::move(aRun) });
 }
 
 void
-LeaseWorld::In(const std::string& aName,
-               VirtualTime aTime,
-               std::function<void()> aRun)
+LeaseSimulation::RunInProcess(const std::string& aName,
+                              VirtualTime aTime,
+                              std::function<void()> aRun)
 {
-  const unsigned life = mProcesses.at(aName).mLife;
-  At(aTime, [this, aName, life, run = std::move(aRun)] {
+  const unsigned startCount = mProcesses.at(aName).mStartCount;
+  RunAt(aTime, [this, aName, startCount, run = std::move(aRun)] {
     const Process& process = mProcesses.at(aName);
-    if (!process.mAlive || process.mLife != life) {
+    if (!process.mAlive || process.mStartCount != startCount) {
       return;
     }
     if (process.mPausedUntil > mNow) {
-      In(aName, process.mPausedUntil, run);
+      RunInProcess(aName, process.mPausedUntil, run);
       return;
     }
     run();
-    mChanged = true;
+    mStateChanged = true;
   });
 }
 
 void
-LeaseWorld::Work(const std::string& aName)
+LeaseSimulation::RunNextAction(const std::string& aName)
 {
   Process& process = mProcesses.at(aName);
-  for (auto& [shard, stopping] : process.mState.mStopping) {
+  for (auto& [shard, stopping] : process.mState.mStoppingShards) {
     stopping.mQuiescent = stopping.mQuiescent || Random(10) < 7;
   }
   const auto action = NextAction(process.mState, LocalTime(process));
   if (!action) {
-    WorkAfterTick(aName);
+    RunNextActionAfterTick(aName);
     return;
   }
   // A pause may fall between the decision and the moment of sending.
-  In(aName, mNow + VirtualTime(50), [this, aName, action = *action] {
+  RunInProcess(aName, mNow + VirtualTime(50), [this, aName, action = *action] {
     Send(aName, action);
   });
 }
 
 void
-LeaseWorld::WorkAfterTick(const std::string& aName)
+LeaseSimulation::RunNextActionAfterTick(const std::string& aName)
 {
-  In(aName, mNow + kTick, [this, aName] { Work(aName); });
+  RunInProcess(aName, mNow + kTick, [this, aName] { RunNextAction(aName); });
 }
 
 void
-LeaseWorld::Send(const std::string& aName, const LeaseAction& aAction)
+LeaseSimulation::Send(const std::string& aName, const LeaseAction& aAction)
 {
   if (const auto* write = std::get_if<WriteLeaseRows>(&aAction)) {
     SendWrite(aName, *write);
@@ -285,13 +288,14 @@
 }
 
 bool
-LeaseWorld::StoreReachable(const std::string& aName) const
+LeaseSimulation::StoreReachable(const std::string& aName) const
 {
-  return !mOutage && !mProcesses.at(aName).mCut;
+  return !mOutage && !mProcesses.at(aName).mPartitionedFromStore;
 }
 
 void
-LeaseWorld::SendWrite(const std::string& aName, const WriteLeaseRows& aAction)
+LeaseSimulation::SendWrite(const std::string& aName,
+                           const WriteLeaseRows& aAction)
 {
   const MonotonicTime sent = LocalTime(mProcesses.at(aName));
   const auto report =
@@ -300,64 +304,70 @@
       ReportWrite(process.mState, aAction, aResult, sent, LocalTime(process));
       if (aResult.mStatus == LeaseWriteStatus::Committed ||
           aResult.mStatus == LeaseWriteStatus::Conflict) {
-        Work(aName);
+        RunNextAction(aName);
       } else {
-        WorkAfterTick(aName);
+        RunNextActionAfterTick(aName);
       }
     };
   const LeaseWriteResult unknown{ LeaseWriteStatus::Unknown, 0, std::nullopt };
-  const std::uint64_t fate = Random(1000);
-  if (fate < mSettings.mLateWrites) {
-    At(mNow + Millis(Random(kLatestArrivalMs)), [this, aName, aAction] {
+  const std::uint64_t randomPerMille = Random(1000);
+  if (randomPerMille < mSettings.mLateWritesPerMille) {
+    RunAt(mNow + Millis(Random(kMaxLateArrivalMs)), [this, aName, aAction] {
       if (StoreReachable(aName)) {
         ExecuteWrite(MakeMemoryTablePort(mTable), aAction);
       }
     });
-    In(aName, mNow + kStoreTimeout, [report, unknown] { report(unknown); });
+    RunInProcess(
+      aName, mNow + kStoreTimeout, [report, unknown] { report(unknown); });
     return;
   }
-  const bool loseAnswer = fate < mSettings.mLateWrites + mSettings.mLostAnswers;
-  At(mNow + StoreDelay(), [=, this] {
+  const bool loseAnswer = randomPerMille < mSettings.mLateWritesPerMille +
+                                             mSettings.mLostAnswersPerMille;
+  RunAt(mNow + StoreDelay(), [=, this] {
     if (!StoreReachable(aName)) {
       LeaseWriteResult failed = unknown;
       if (Random(2) == 0) {
         failed.mStatus = LeaseWriteStatus::Unavailable;
       }
-      In(aName, mNow + FailureDelay(), [report, failed] { report(failed); });
+      RunInProcess(
+        aName, mNow + FailureDelay(), [report, failed] { report(failed); });
       return;
     }
     const LeaseWriteResult result =
       ExecuteWrite(MakeMemoryTablePort(mTable), aAction);
-    In(aName,
-       mNow + (loseAnswer ? kStoreTimeout : StoreDelay()),
-       [report, answer = loseAnswer ? unknown : result] { report(answer); });
+    RunInProcess(
+      aName,
+      mNow + (loseAnswer ? kStoreTimeout : StoreDelay()),
+      [report, answer = loseAnswer ? unknown : result] { report(answer); });
   });
 }
 
 void
-LeaseWorld::SendRead(const std::string& aName, const ReadLeaseRows& aAction)
+LeaseSimulation::SendRead(const std::string& aName,
+                          const ReadLeaseRows& aAction)
 {
-  At(mNow + StoreDelay(), [=, this] {
+  RunAt(mNow + StoreDelay(), [=, this] {
     if (!StoreReachable(aName)) {
-      In(aName, mNow + FailureDelay(), [this, aName] {
+      RunInProcess(aName, mNow + FailureDelay(), [this, aName] {
         Process& process = mProcesses.at(aName);
         ReportReadFailure(process.mState, LocalTime(process));
-        WorkAfterTick(aName);
+        RunNextActionAfterTick(aName);
       });
       return;
     }
     const LeaseRows rows =
       ValueOf(ExecuteRead(MakeMemoryTablePort(mTable), aAction));
-    In(aName, mNow + StoreDelay(), [this, aName, aAction, rows] {
+    RunInProcess(aName, mNow + StoreDelay(), [this, aName, aAction, rows] {
       Process& process = mProcesses.at(aName);
       ReportRead(process.mState, aAction, rows, LocalTime(process));
-      Work(aName);
+      RunNextAction(aName);
     });
   });
 }
 
 void
-LeaseWorld::SendPromise(const std::string& aName, const AskPromise& aAction)
+LeaseSimulation::SendPromise(const std::string& aName,
+                             const AskPromise& aAction)
 {
   const MonotonicTime sent = LocalTime(mProcesses.at(aName));
   // Whichever comes first, the answer or the time-out, ends the call.
@@ -368,30 +378,31 @@
     }
     Process& process = mProcesses.at(aName);
     ReportPromise(process.mState, aAction, aGranted, sent, LocalTime(process));
-    Work(aName);
+    RunNextAction(aName);
   };
-  In(aName, mNow + kPromiseTimeout, [end] { end(false); });
+  RunInProcess(aName, mNow + kPromiseTimeout, [end] { end(false); });
   const std::string peer = aAction.mPeer.mName;
-  if (mCutPeers.contains({ aName, peer }) || !mProcesses.contains(peer)) {
+  if (mPartitionedPeers.contains({ aName, peer }) ||
+      !mProcesses.contains(peer)) {
     return;
   }
-  In(peer, mNow + NetworkDelay(), [=, this] {
+  RunInProcess(peer, mNow + NetworkDelay(), [=, this] {
     Process& process = mProcesses.at(peer);
     GrantPromise(process.mState, aName, aAction.mTerm, LocalTime(process));
-    In(aName, mNow + NetworkDelay(), [end] { end(true); });
+    RunInProcess(aName, mNow + NetworkDelay(), [end] { end(true); });
   });
 }
 
 void
-LeaseWorld::Check()
+LeaseSimulation::CheckAllShards()
 {
-  for (const ShardPlace& place : mPlaces) {
+  for (const ShardPlace& place : mShardPlaces) {
     CheckShard(place.mId);
   }
 }
 
 void
-LeaseWorld::CheckShard(const std::string& aShard)
+LeaseSimulation::CheckShard(const std::string& aShard)
 {
   const std::vector<std::string> owners = OwnersOf(aShard);
   if (owners.empty() || !mViolation.empty()) {
@@ -403,7 +414,7 @@
     mViolation = "two owners " + owners[0] + " and " + owners[1] + where;
     return;
   }
-  std::uint64_t& last = mEpochs[aShard];
+  std::uint64_t& last = mHighestEpochs[aShard];
   const std::uint64_t epoch = Held(aShard)->mEpoch;
   if (epoch < last) {
     mViolation = "epoch " + std::to_string(epoch) + " after " +
--- a/Tests/LibLease/LeaseWorld.h
+++ b/Tests/LibLease/LeaseSimulation.h
@@ -19,25 +19,25 @@
 /// Virtual time since the start of a simulation.
 using VirtualTime = std::chrono::microseconds;
 
-struct LeaseWorldSettings
+struct LeaseSimulationSettings
 {
   std::uint64_t mSeed = 1;
   LeaseTimes mTimes;
   unsigned mShards = 6;
   /// Per mille of writes whose answer is lost, and of writes that arrive only
   /// after the sender has given up.
-  unsigned mLostAnswers = 0;
-  unsigned mLateWrites = 0;
+  unsigned mLostAnswersPerMille = 0;
+  unsigned mLateWritesPerMille = 0;
 };
 
 /// Several processes that drive the lease decisions against one table, in
 /// virtual time. Each has a clock of its own rate and offset. After each
-/// event the world checks that no shard has two valid owners and that no
+/// event the simulation checks that no shard has two valid owners and that no
 /// epoch goes back.
-class LeaseWorld
+class LeaseSimulation
 {
 public:
-  explicit LeaseWorld(LeaseWorldSettings aSettings);
+  explicit LeaseSimulation(LeaseSimulationSettings aSettings);
 
   /// Starts a process, also one that was killed before.
   void Start(const std::string& aName,
@@ -52,11 +52,14 @@
   void SetOutage(bool aOn) { mOutage = aOn; }
   /// Sets the time that a call of the store takes, or that passes until a call
   /// fails in an outage; random by default.
-  void SetCallTime(VirtualTime aTime) { mCallTime = aTime; }
+  void SetStoreCallTime(VirtualTime aTime) { mStoreCallTime = aTime; }
   /// Cuts a process off from the store or connects it again.
-  void CutFromStore(const std::string& aName, bool aCut);
-  void CutPeers(const std::string& aOne, const std::string& aOther, bool aCut);
-  void SetWriteFaults(unsigned aLostAnswers, unsigned aLateWrites);
+  void PartitionFromStore(const std::string& aName, bool aPartitioned);
+  void PartitionPeers(const std::string& aOne,
+                      const std::string& aOther,
+                      bool aPartitioned);
+  void SetWriteFaults(unsigned aLostAnswersPerMille,
+                      unsigned aLateWritesPerMille);
   void Release(const std::string& aName);
 
   void RunFor(VirtualTime aDuration);
@@ -83,11 +86,11 @@
     std::string mRegion;
     LeaseState mState;
     bool mAlive = false;
-    unsigned mLife = 0; ///< Events of earlier lives are dropped.
+    unsigned mStartCount = 0; ///< Events of earlier lives are dropped.
     double mRate = 1;
     VirtualTime mOffset{ 0 };
     VirtualTime mPausedUntil{ 0 };
-    bool mCut = false;
+    bool mPartitionedFromStore = false;
   };
 
   struct Event
@@ -105,35 +108,35 @@
   VirtualTime NetworkDelay();
   VirtualTime StoreDelay();
   VirtualTime FailureDelay();
-  void At(VirtualTime aTime, std::function<void()> aRun);
+  void RunAt(VirtualTime aTime, std::function<void()> aRun);
   /// Runs something in a process; later if it is paused, never if it has died.
-  void In(const std::string& aName,
-          VirtualTime aTime,
-          std::function<void()> aRun);
-  void Work(const std::string& aName);
-  void WorkAfterTick(const std::string& aName);
+  void RunInProcess(const std::string& aName,
+                    VirtualTime aTime,
+                    std::function<void()> aRun);
+  void RunNextAction(const std::string& aName);
+  void RunNextActionAfterTick(const std::string& aName);
   void Send(const std::string& aName, const LeaseAction& aAction);
   void SendWrite(const std::string& aName, const WriteLeaseRows& aAction);
   void SendRead(const std::string& aName, const ReadLeaseRows& aAction);
   void SendPromise(const std::string& aName, const AskPromise& aAction);
   bool StoreReachable(const std::string& aName) const;
-  void Check();
+  void CheckAllShards();
   void CheckShard(const std::string& aShard);
 
-  LeaseWorldSettings mSettings;
+  LeaseSimulationSettings mSettings;
   std::mt19937_64 mRandom;
   MemoryTable mTable;
   VirtualTime mNow{ 0 };
   std::uint64_t mNextOrder = 0;
   std::priority_queue<Event> mEvents;
   std::map<std::string, Process> mProcesses;
-  std::set<std::pair<std::string, std::string>> mCutPeers;
-  std::vector<ShardPlace> mPlaces;
-  std::map<std::string, std::uint64_t> mEpochs;
+  std::set<std::pair<std::string, std::string>> mPartitionedPeers;
+  std::vector<ShardPlace> mShardPlaces;
+  std::map<std::string, std::uint64_t> mHighestEpochs;
   bool mOutage = false;
-  std::optional<VirtualTime> mCallTime;
+  std::optional<VirtualTime> mStoreCallTime;
   /// A process has changed its state. Without that, ownership can only end.
-  bool mChanged = false;
+  bool mStateChanged = false;
   std::string mViolation;
 };
 
--- a/Tests/LibLease/TestLeaseCore.cpp
+++ b/Tests/LibLease/TestLeaseCore.cpp
@@ -24,7 +24,7 @@
 
 /// Carries out everything that is due, without any delay.
 void
-Drive(LeaseState& aState, MemoryTable& aTable, MonotonicTime aNow)
+RunDueActions(LeaseState& aState, MemoryTable& aTable, MonotonicTime aNow)
 {
   const TablePort port = MakeMemoryTablePort(aTable);
   while (const auto action = NextAction(aState, aNow)) {
@@ -37,13 +37,13 @@
 }
 
 void
-DriveFor(LeaseState& aState,
-         MemoryTable& aTable,
-         MonotonicTime aFrom,
-         Millis aDuration)
+RunDueActionsFor(LeaseState& aState,
+                 MemoryTable& aTable,
+                 MonotonicTime aFrom,
+                 Millis aDuration)
 {
   for (Millis at(0); at <= aDuration; at += Millis(100)) {
-    Drive(aState, aTable, aFrom + at);
+    RunDueActions(aState, aTable, aFrom + at);
   }
 }
 
@@ -56,8 +56,8 @@
 
   void setup() override
   {
-    mState.mPlaces = { { "s", "dc-1", "r" } };
-    DriveFor(mState, mTable, kStart, Millis(3000));
+    mState.mShardPlaces = { { "s", "dc-1", "r" } };
+    RunDueActionsFor(mState, mTable, kStart, Millis(3000));
     CHECK_TRUE(FindOwned(mState, "s", kStart + Millis(3000)) != nullptr);
   }
 };
@@ -67,7 +67,7 @@
 TEST(LeaseCore, ShardOfEndedSessionIsTakenWithNewEpoch)
 {
   mTable.Transact({ {}, { { "session/a", std::nullopt } } });
-  DriveFor(mState, mTable, kStart + Millis(3100), Millis(2000));
+  RunDueActionsFor(mState, mTable, kStart + Millis(3100), Millis(2000));
   const HeldShard* held = FindOwned(mState, "s", kStart + Millis(5100));
   CHECK_TRUE(held != nullptr);
   CHECK_EQUAL(2U, held->mEpoch);
--- a/Tests/LibLease/TestLeaseKeeper.cpp
+++ b/Tests/LibLease/TestLeaseKeeper.cpp
@@ -22,12 +22,12 @@
                                    .mForeignTakeoverWait = Millis(60000) };
 
 /// Longest time a test waits for something that must happen.
-constexpr Seconds kPatience{ 30 };
+constexpr Seconds kMaxWait{ 30 };
 
 bool
 WaitUntil(const std::function<bool()>& aCondition)
 {
-  const MonotonicTime end = std::chrono::steady_clock::now() + kPatience;
+  const MonotonicTime end = std::chrono::steady_clock::now() + kMaxWait;
   while (!aCondition()) {
     if (std::chrono::steady_clock::now() > end) {
       return false;
@@ -140,7 +140,7 @@
   Start("a", "dc-1");
   Start("b", "dc-2");
   CHECK_TRUE(WaitUntil([this] { return OwnedBy("a") == 16; }));
-  CHECK_TRUE(mKeepers["a"]->Leave(kPatience));
+  CHECK_TRUE(mKeepers["a"]->Leave(kMaxWait));
   CHECK_FALSE(mKeepers["a"]->SessionValid());
   LONGS_EQUAL(0, OwnedBy("a"));
   CHECK_TRUE(AllOwned());
@@ -161,7 +161,7 @@
     return quiescent.load();
   });
   bool complete = false;
-  std::thread leaver([&] { complete = mKeepers["a"]->Leave(kPatience); });
+  std::thread leaver([&] { complete = mKeepers["a"]->Leave(kMaxWait); });
   CHECK_TRUE(WaitUntil([&] { return asked.load(); }));
   LONGS_EQUAL(0, Owned());
   quiescent = true;
--- a/Tests/LibLease/TestLeaseScenarios.cpp
+++ b/Tests/LibLease/TestLeaseScenarios.cpp
@@ -1,6 +1,6 @@
 #include <string>
 
-#include "LeaseWorld.h"
+#include "LeaseSimulation.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -11,56 +11,59 @@
 constexpr LeaseTimes kTimes{ Millis(3000), Millis(1000), Millis(660000) };
 
 void
-CheckSound(const LeaseWorld& aWorld)
+CheckNoViolation(const LeaseSimulation& aSimulation)
 {
-  STRCMP_EQUAL("", aWorld.Violation().c_str());
+  STRCMP_EQUAL("", aSimulation.Violation().c_str());
 }
 
 /// Checks that two processes keep their shards for a minute in which each call
 /// of the store takes a given time.
 void
-CheckUninterrupted(LeaseWorld& aWorld, VirtualTime aCallTime, bool aOutage)
+CheckUninterrupted(LeaseSimulation& aSimulation,
+                   VirtualTime aCallTime,
+                   bool aOutage)
 {
-  aWorld.Start("a", "dc-1");
-  aWorld.Start("c", "dc-2");
-  aWorld.RunFor(Seconds(20));
-  aWorld.SetCallTime(aCallTime);
-  aWorld.SetOutage(aOutage);
+  aSimulation.Start("a", "dc-1");
+  aSimulation.Start("c", "dc-2");
+  aSimulation.RunFor(Seconds(20));
+  aSimulation.SetStoreCallTime(aCallTime);
+  aSimulation.SetOutage(aOutage);
   for (int i = 0; i < 600; ++i) {
-    aWorld.RunFor(Millis(100));
-    LONGS_EQUAL(6, aWorld.Owned());
+    aSimulation.RunFor(Millis(100));
+    LONGS_EQUAL(6, aSimulation.Owned());
   }
-  CheckSound(aWorld);
+  CheckNoViolation(aSimulation);
 }
 
 } // namespace
 
 TEST_GROUP(LeaseScenarios)
 {
-  LeaseWorld mWorld{ { .mSeed = 7, .mTimes = kTimes } };
+  LeaseSimulation mSimulation{ { .mSeed = 7, .mTimes = kTimes } };
 
   /// Starts one process per data centre and waits until all shards are owned.
   void StartTwo()
   {
-    mWorld.Start("a", "dc-1");
-    mWorld.Start("c", "dc-2");
-    mWorld.RunFor(Seconds(20));
-    LONGS_EQUAL(3, mWorld.OwnedBy("a"));
-    LONGS_EQUAL(3, mWorld.OwnedBy("c"));
+    mSimulation.Start("a", "dc-1");
+    mSimulation.Start("c", "dc-2");
+    mSimulation.RunFor(Seconds(20));
+    LONGS_EQUAL(3, mSimulation.OwnedBy("a"));
+    LONGS_EQUAL(3, mSimulation.OwnedBy("c"));
   }
 
   /// Starts three processes and kills one together with its successor.
   /// @return the name of the survivor
   std::string KillOwnerAndSuccessor()
   {
-    mWorld.Start("a", "dc-1");
-    mWorld.Start("c", "dc-2");
-    mWorld.Start("d", "dc-2");
-    mWorld.RunFor(Seconds(20));
-    LONGS_EQUAL(6, mWorld.Owned());
-    const std::string successor = mWorld.StateOf("a").mConfirmed.mSuccessor;
-    mWorld.Kill("a");
-    mWorld.Kill(successor);
+    mSimulation.Start("a", "dc-1");
+    mSimulation.Start("c", "dc-2");
+    mSimulation.Start("d", "dc-2");
+    mSimulation.RunFor(Seconds(20));
+    LONGS_EQUAL(6, mSimulation.Owned());
+    const std::string successor =
+      mSimulation.StateOf("a").mConfirmedRenewal.mSuccessor;
+    mSimulation.Kill("a");
+    mSimulation.Kill(successor);
     return successor == "c" ? "d" : "c";
   }
 };
@@ -70,14 +73,14 @@
 TEST(LeaseScenarios, FrozenHolderResumesAndOwnsNothing)
 {
   StartTwo();
-  mWorld.Pause("a", Seconds(30));
-  mWorld.RunFor(Seconds(29));
-  LONGS_EQUAL(6, mWorld.OwnedBy("c"));
-  mWorld.RunFor(Seconds(1));
-  LONGS_EQUAL(0, mWorld.OwnedBy("a"));
-  mWorld.RunFor(Millis(500));
-  LONGS_EQUAL(0, mWorld.OwnedBy("a"));
-  CheckSound(mWorld);
+  mSimulation.Pause("a", Seconds(30));
+  mSimulation.RunFor(Seconds(29));
+  LONGS_EQUAL(6, mSimulation.OwnedBy("c"));
+  mSimulation.RunFor(Seconds(1));
+  LONGS_EQUAL(0, mSimulation.OwnedBy("a"));
+  mSimulation.RunFor(Millis(500));
+  LONGS_EQUAL(0, mSimulation.OwnedBy("a"));
+  CheckNoViolation(mSimulation);
 }
 
 // Guards against an outage of the store that stops all service: the promise
@@ -85,17 +88,17 @@
 TEST(LeaseScenarios, OwnerIsKeptThroughTenMinutesOfOutage)
 {
   StartTwo();
-  const std::uint64_t epoch = mWorld.Held("s0")->mEpoch;
-  mWorld.SetOutage(true);
+  const std::uint64_t epoch = mSimulation.Held("s0")->mEpoch;
+  mSimulation.SetOutage(true);
   for (int i = 0; i < 600; ++i) {
-    mWorld.RunFor(Seconds(1));
-    LONGS_EQUAL(6, mWorld.Owned());
+    mSimulation.RunFor(Seconds(1));
+    LONGS_EQUAL(6, mSimulation.Owned());
   }
-  mWorld.SetOutage(false);
-  mWorld.RunFor(Seconds(10));
-  LONGS_EQUAL(6, mWorld.Owned());
-  CHECK_EQUAL(epoch, mWorld.Held("s0")->mEpoch);
-  CheckSound(mWorld);
+  mSimulation.SetOutage(false);
+  mSimulation.RunFor(Seconds(10));
+  LONGS_EQUAL(6, mSimulation.Owned());
+  CHECK_EQUAL(epoch, mSimulation.Held("s0")->mEpoch);
+  CheckNoViolation(mSimulation);
 }
 
 // Guards against a table service that is slow, but works, and makes sessions
@@ -103,8 +106,8 @@
 TEST(LeaseScenarios, SlowStoreInterruptsNoOwner)
 {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    LeaseWorld world{ { .mSeed = seed, .mTimes = kTimes } };
-    CheckUninterrupted(world, Millis(900), false);
+    LeaseSimulation simulation{ { .mSeed = seed, .mTimes = kTimes } };
+    CheckUninterrupted(simulation, Millis(900), false);
   }
 }
 
@@ -113,8 +116,8 @@
 TEST(LeaseScenarios, SilentStoreInterruptsNoOwner)
 {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    LeaseWorld world{ { .mSeed = seed, .mTimes = kTimes } };
-    CheckUninterrupted(world, Millis(1000), true);
+    LeaseSimulation simulation{ { .mSeed = seed, .mTimes = kTimes } };
+    CheckUninterrupted(simulation, Millis(1000), true);
   }
 }
 
@@ -122,10 +125,10 @@
 TEST(LeaseScenarios, OwnerStopsBeforeOthersMayTakeOver)
 {
   StartTwo();
-  mWorld.SetOutage(true);
-  mWorld.RunFor(kTimes.mForeignTakeoverWait);
-  LONGS_EQUAL(0, mWorld.Owned());
-  CheckSound(mWorld);
+  mSimulation.SetOutage(true);
+  mSimulation.RunFor(kTimes.mForeignTakeoverWait);
+  LONGS_EQUAL(0, mSimulation.Owned());
+  CheckNoViolation(mSimulation);
 }
 
 // Guards against an owner without a lease or a promise: the successor is lost
@@ -133,16 +136,16 @@
 TEST(LeaseScenarios, OwnerStopsWhenSuccessorDiesInOutage)
 {
   StartTwo();
-  mWorld.SetOutage(true);
-  mWorld.RunFor(Seconds(30));
-  LONGS_EQUAL(6, mWorld.Owned());
-  mWorld.Kill("c");
-  mWorld.RunFor(Seconds(5));
-  LONGS_EQUAL(0, mWorld.Owned());
-  mWorld.SetOutage(false);
-  mWorld.RunFor(Seconds(10));
-  LONGS_EQUAL(6, mWorld.OwnedBy("a"));
-  CheckSound(mWorld);
+  mSimulation.SetOutage(true);
+  mSimulation.RunFor(Seconds(30));
+  LONGS_EQUAL(6, mSimulation.Owned());
+  mSimulation.Kill("c");
+  mSimulation.RunFor(Seconds(5));
+  LONGS_EQUAL(0, mSimulation.Owned());
+  mSimulation.SetOutage(false);
+  mSimulation.RunFor(Seconds(10));
+  LONGS_EQUAL(6, mSimulation.OwnedBy("a"));
+  CheckNoViolation(mSimulation);
 }
 
 // Guards against a takeover by a process that has promised nothing, while the
@@ -150,12 +153,13 @@
 TEST(LeaseScenarios, ForeignTakerWaits)
 {
   const std::string survivor = KillOwnerAndSuccessor();
-  mWorld.RunFor(kTimes.mForeignTakeoverWait - Seconds(30));
-  CHECK_TRUE(mWorld.OwnedBy(survivor) < 6);
-  mWorld.RunFor(Seconds(60));
-  LONGS_EQUAL(6, mWorld.OwnedBy(survivor));
-  CHECK_TRUE(mWorld.Held("s0")->mAcquisition == ShardAcquisition::Takeover);
-  CheckSound(mWorld);
+  mSimulation.RunFor(kTimes.mForeignTakeoverWait - Seconds(30));
+  CHECK_TRUE(mSimulation.OwnedBy(survivor) < 6);
+  mSimulation.RunFor(Seconds(60));
+  LONGS_EQUAL(6, mSimulation.OwnedBy(survivor));
+  CHECK_TRUE(mSimulation.Held("s0")->mAcquisition ==
+             ShardAcquisition::Takeover);
+  CheckNoViolation(mSimulation);
 }
 
 // Guards against an operator who knows that the hosts are gone and has to
@@ -163,12 +167,13 @@
 TEST(LeaseScenarios, ReleaseEndsTheWait)
 {
   const std::string survivor = KillOwnerAndSuccessor();
-  mWorld.RunFor(Seconds(20));
-  CHECK_TRUE(mWorld.OwnedBy(survivor) < 6);
-  mWorld.Release("a");
-  mWorld.RunFor(Seconds(10));
-  CHECK_TRUE(mWorld.OwnersOf("s0") == std::vector<std::string>{ survivor });
-  CheckSound(mWorld);
+  mSimulation.RunFor(Seconds(20));
+  CHECK_TRUE(mSimulation.OwnedBy(survivor) < 6);
+  mSimulation.Release("a");
+  mSimulation.RunFor(Seconds(10));
+  CHECK_TRUE(mSimulation.OwnersOf("s0") ==
+             std::vector<std::string>{ survivor });
+  CheckNoViolation(mSimulation);
 }
 
 // Guards against a successor that has forgotten its promise by restarting
@@ -176,17 +181,17 @@
 TEST(LeaseScenarios, RestartedSuccessorWaits)
 {
   StartTwo();
-  mWorld.CutFromStore("a", true);
-  mWorld.RunFor(Seconds(30));
-  LONGS_EQUAL(3, mWorld.OwnedBy("a"));
-  mWorld.Kill("c");
-  mWorld.Restart("c");
-  mWorld.CutPeers("a", "c", true);
-  mWorld.RunFor(Millis(2000));
-  CHECK_FALSE(mWorld.OwnersOf("s0") == std::vector<std::string>{ "c" });
-  mWorld.RunFor(Seconds(20));
-  LONGS_EQUAL(6, mWorld.OwnedBy("c"));
-  CheckSound(mWorld);
+  mSimulation.PartitionFromStore("a", true);
+  mSimulation.RunFor(Seconds(30));
+  LONGS_EQUAL(3, mSimulation.OwnedBy("a"));
+  mSimulation.Kill("c");
+  mSimulation.Restart("c");
+  mSimulation.PartitionPeers("a", "c", true);
+  mSimulation.RunFor(Millis(2000));
+  CHECK_FALSE(mSimulation.OwnersOf("s0") == std::vector<std::string>{ "c" });
+  mSimulation.RunFor(Seconds(20));
+  LONGS_EQUAL(6, mSimulation.OwnedBy("c"));
+  CheckNoViolation(mSimulation);
 }
 
 // Guards against an owner that lapsed and believes a late promise: its
@@ -194,18 +199,18 @@
 TEST(LeaseScenarios, LapsedOwnerDoesNotReturnByLatePromise)
 {
   StartTwo();
-  mWorld.CutFromStore("a", true);
-  mWorld.CutPeers("a", "c", true);
-  mWorld.RunFor(Seconds(20));
-  LONGS_EQUAL(6, mWorld.OwnedBy("c"));
-  mWorld.Kill("c");
-  mWorld.Restart("c");
-  mWorld.CutPeers("a", "c", false);
+  mSimulation.PartitionFromStore("a", true);
+  mSimulation.PartitionPeers("a", "c", true);
+  mSimulation.RunFor(Seconds(20));
+  LONGS_EQUAL(6, mSimulation.OwnedBy("c"));
+  mSimulation.Kill("c");
+  mSimulation.Restart("c");
+  mSimulation.PartitionPeers("a", "c", false);
   for (int i = 0; i < 20; ++i) {
-    mWorld.RunFor(Seconds(1));
-    LONGS_EQUAL(0, mWorld.OwnedBy("a"));
+    mSimulation.RunFor(Seconds(1));
+    LONGS_EQUAL(0, mSimulation.OwnedBy("a"));
   }
-  CheckSound(mWorld);
+  CheckNoViolation(mSimulation);
 }
 
 // Guards against a wait of minutes after all processes were killed and
@@ -213,28 +218,30 @@
 TEST(LeaseScenarios, RestartOfAllProcessesRecoversInSeconds)
 {
   StartTwo();
-  mWorld.Kill("a");
-  mWorld.Kill("c");
-  mWorld.Restart("a");
-  mWorld.Restart("c");
-  mWorld.RunFor(Seconds(15));
-  LONGS_EQUAL(6, mWorld.Owned());
-  CheckSound(mWorld);
+  mSimulation.Kill("a");
+  mSimulation.Kill("c");
+  mSimulation.Restart("a");
+  mSimulation.Restart("c");
+  mSimulation.RunFor(Seconds(15));
+  LONGS_EQUAL(6, mSimulation.Owned());
+  CheckNoViolation(mSimulation);
 }
 
 // Guards against shards that stay far away although an owner in their data
 // centre has appeared.
 TEST(LeaseScenarios, ShardsMoveToBetterOwnerByHandOver)
 {
-  mWorld.Start("a", "dc-1");
-  mWorld.RunFor(Seconds(10));
-  LONGS_EQUAL(6, mWorld.OwnedBy("a"));
-  mWorld.Start("c", "dc-2");
-  mWorld.RunFor(Seconds(20));
-  LONGS_EQUAL(3, mWorld.OwnedBy("c"));
-  CHECK_TRUE(mWorld.Held("s1")->mAcquisition == ShardAcquisition::HandOver);
-  CHECK_TRUE(mWorld.Held("s0")->mAcquisition == ShardAcquisition::FirstOwner);
-  CheckSound(mWorld);
+  mSimulation.Start("a", "dc-1");
+  mSimulation.RunFor(Seconds(10));
+  LONGS_EQUAL(6, mSimulation.OwnedBy("a"));
+  mSimulation.Start("c", "dc-2");
+  mSimulation.RunFor(Seconds(20));
+  LONGS_EQUAL(3, mSimulation.OwnedBy("c"));
+  CHECK_TRUE(mSimulation.Held("s1")->mAcquisition ==
+             ShardAcquisition::HandOver);
+  CHECK_TRUE(mSimulation.Held("s0")->mAcquisition ==
+             ShardAcquisition::FirstOwner);
+  CheckNoViolation(mSimulation);
 }
 
 // Guards against a new owner that does not find its predecessor, from which it
@@ -242,15 +249,15 @@
 TEST(LeaseScenarios, NewOwnerSeesSessionOfLeavingPredecessor)
 {
   StartTwo();
-  mWorld.Leave("a");
-  for (int i = 0; i < 10000 && mWorld.OwnedBy("c") < 6; ++i) {
-    mWorld.RunFor(Millis(1));
+  mSimulation.Leave("a");
+  for (int i = 0; i < 10000 && mSimulation.OwnedBy("c") < 6; ++i) {
+    mSimulation.RunFor(Millis(1));
   }
-  LONGS_EQUAL(6, mWorld.OwnedBy("c"));
-  LONGS_EQUAL(2, LiveMembers(mWorld.StateOf("c"), "gateway").size());
-  mWorld.RunFor(Seconds(10));
-  LONGS_EQUAL(1, LiveMembers(mWorld.StateOf("c"), "gateway").size());
-  CheckSound(mWorld);
+  LONGS_EQUAL(6, mSimulation.OwnedBy("c"));
+  LONGS_EQUAL(2, LiveMembers(mSimulation.StateOf("c"), "gateway").size());
+  mSimulation.RunFor(Seconds(10));
+  LONGS_EQUAL(1, LiveMembers(mSimulation.StateOf("c"), "gateway").size());
+  CheckNoViolation(mSimulation);
 }
 
 // Guards against a load on the table service that grows beyond one write per
@@ -258,13 +265,13 @@
 TEST(LeaseScenarios, SixteenProcessesWriteAboutSixteenTimesPerSecond)
 {
   for (int i = 0; i < 16; ++i) {
-    mWorld.Start("m" + std::to_string(i), i % 2 == 0 ? "dc-1" : "dc-2");
+    mSimulation.Start("m" + std::to_string(i), i % 2 == 0 ? "dc-1" : "dc-2");
   }
-  mWorld.RunFor(Seconds(30));
-  const TableCounters before = mWorld.Counters();
-  mWorld.RunFor(Seconds(60));
-  const TableCounters after = mWorld.Counters();
+  mSimulation.RunFor(Seconds(30));
+  const TableCounters before = mSimulation.Counters();
+  mSimulation.RunFor(Seconds(60));
+  const TableCounters after = mSimulation.Counters();
   CHECK_COMPARE(after.mWrites - before.mWrites, <=, std::uint64_t(60) * 17);
   CHECK_COMPARE(after.mReads - before.mReads, <=, std::uint64_t(60) * 34);
-  LONGS_EQUAL(6, mWorld.Owned());
+  LONGS_EQUAL(6, mSimulation.Owned());
 }
--- a/Tests/LibLease/TestLeaseSchedules.cpp
+++ b/Tests/LibLease/TestLeaseSchedules.cpp
@@ -1,6 +1,6 @@
 #include <string>
 
-#include "LeaseWorld.h"
+#include "LeaseSimulation.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -15,75 +15,76 @@
 constexpr LeaseTimes kTimes{ Millis(3000), Millis(1000), Millis(30000) };
 
 void
-StartAll(LeaseWorld& aWorld)
+StartAll(LeaseSimulation& aSimulation)
 {
-  aWorld.Start("a", "dc-1", "r1");
-  aWorld.Start("b", "dc-1", "r1");
-  aWorld.Start("c", "dc-2", "r1");
-  aWorld.Start("d", "dc-2", "r1");
-  aWorld.Start("e", "dc-3", "r2");
+  aSimulation.Start("a", "dc-1", "r1");
+  aSimulation.Start("b", "dc-1", "r1");
+  aSimulation.Start("c", "dc-2", "r1");
+  aSimulation.Start("d", "dc-2", "r1");
+  aSimulation.Start("e", "dc-3", "r2");
 }
 
-/// Changes one random condition of the world.
+/// Changes one random condition of the simulation.
 void
-Disturb(LeaseWorld& aWorld)
+InjectRandomFault(LeaseSimulation& aSimulation)
 {
-  const std::string& name = kNames[aWorld.Random(5)];
-  const std::string& other = kNames[aWorld.Random(5)];
-  switch (aWorld.Random(12)) {
+  const std::string& name = kNames[aSimulation.Random(5)];
+  const std::string& other = kNames[aSimulation.Random(5)];
+  switch (aSimulation.Random(12)) {
     case 0:
-      aWorld.SetOutage(true);
+      aSimulation.SetOutage(true);
       return;
     case 1:
     case 2:
-      aWorld.SetOutage(false);
+      aSimulation.SetOutage(false);
       return;
     case 3:
     case 4:
-      if (aWorld.Alive(name)) {
-        aWorld.Pause(name, Millis(aWorld.Random(20000)));
+      if (aSimulation.Alive(name)) {
+        aSimulation.Pause(name, Millis(aSimulation.Random(20000)));
       }
       return;
     case 5:
-      if (aWorld.Alive(name)) {
-        aWorld.Kill(name);
+      if (aSimulation.Alive(name)) {
+        aSimulation.Kill(name);
       }
       return;
     case 6:
     case 7:
-      if (!aWorld.Alive(name)) {
-        aWorld.Restart(name);
+      if (!aSimulation.Alive(name)) {
+        aSimulation.Restart(name);
       }
       return;
     case 8:
-      aWorld.CutFromStore(name, aWorld.Random(2) == 0);
+      aSimulation.PartitionFromStore(name, aSimulation.Random(2) == 0);
       return;
     case 9:
-      aWorld.CutPeers(name, other, aWorld.Random(2) == 0);
+      aSimulation.PartitionPeers(name, other, aSimulation.Random(2) == 0);
       return;
     case 10:
-      aWorld.SetWriteFaults(aWorld.Random(300), aWorld.Random(100));
+      aSimulation.SetWriteFaults(aSimulation.Random(300),
+                                 aSimulation.Random(100));
       return;
     default:
       // A quiet moment, in which sessions start and shards move.
-      aWorld.RunFor(Millis(aWorld.Random(10000)));
+      aSimulation.RunFor(Millis(aSimulation.Random(10000)));
   }
 }
 
 /// Ends all faults.
 void
-Heal(LeaseWorld& aWorld)
+EndAllFaults(LeaseSimulation& aSimulation)
 {
-  aWorld.SetOutage(false);
-  aWorld.SetWriteFaults(0, 0);
+  aSimulation.SetOutage(false);
+  aSimulation.SetWriteFaults(0, 0);
   for (const std::string& name : kNames) {
-    aWorld.CutFromStore(name, false);
-    aWorld.Pause(name, VirtualTime(0));
+    aSimulation.PartitionFromStore(name, false);
+    aSimulation.Pause(name, VirtualTime(0));
     for (const std::string& other : kNames) {
-      aWorld.CutPeers(name, other, false);
+      aSimulation.PartitionPeers(name, other, false);
     }
-    if (!aWorld.Alive(name)) {
-      aWorld.Restart(name);
+    if (!aSimulation.Alive(name)) {
+      aSimulation.Restart(name);
     }
   }
 }
@@ -98,16 +99,17 @@
 TEST(LeaseSchedules, NeverTwoOwnersAndAllOwnedAfterwards)
 {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    LeaseWorld world({ .mSeed = seed, .mTimes = kTimes });
-    StartAll(world);
+    LeaseSimulation simulation({ .mSeed = seed, .mTimes = kTimes });
+    StartAll(simulation);
     for (int step = 0; step < 60; ++step) {
-      world.RunFor(Millis(world.Random(3000)));
-      Disturb(world);
+      simulation.RunFor(Millis(simulation.Random(3000)));
+      InjectRandomFault(simulation);
     }
-    Heal(world);
-    world.RunFor(kTimes.mForeignTakeoverWait + Seconds(30));
-    const std::string told = "seed " + std::to_string(seed) + ": ";
-    STRCMP_EQUAL((told).c_str(), (told + world.Violation()).c_str());
-    LONGS_EQUAL_TEXT(6, world.Owned(), told.c_str());
+    EndAllFaults(simulation);
+    simulation.RunFor(kTimes.mForeignTakeoverWait + Seconds(30));
+    const std::string seedText = "seed " + std::to_string(seed) + ": ";
+    STRCMP_EQUAL((seedText).c_str(),
+                 (seedText + simulation.Violation()).c_str());
+    LONGS_EQUAL_TEXT(6, simulation.Owned(), seedText.c_str());
   }
 }
--- a/Tests/LibRouting/Measure/MeasureRouting.cpp
+++ b/Tests/LibRouting/Measure/MeasureRouting.cpp
@@ -1,5 +1,6 @@
-// Measures the processor time of one request in the routing core: arrival with
-// the choice of a runner, and end. Arguments: POLICY RUNNERS.
+// Measures the processor time that one request takes in the routing core: its
+// arrival with the choice of a runner, and its end. The arguments are the name
+// of the policy and the number of runners.
 
 #include <cstdio>
 #include <cstdlib>
@@ -16,6 +17,7 @@
 
 constexpr std::uint64_t kRequests = 1000000;
 
+/// @return the processor time of this thread in nanoseconds
 double
 ProcessorNanos()
 {
@@ -58,7 +60,7 @@
         ShardAcquired{ "s", { 1, Acquisition::FirstOwner, now } },
         now,
         actions);
-  // Half of the slots are in use, so that the choice meets different loads.
+  // Half of the slots are in use, so that the runners have different loads.
   const std::uint64_t inFlight = runners * 4;
   std::uint64_t sent = 0;
   const double start = ProcessorNanos();
--- a/Tests/LibRouting/RoutingFixture.h
+++ b/Tests/LibRouting/RoutingFixture.h
@@ -11,7 +11,8 @@
 
 namespace paddle {
 
-/// A routing state with one service, driven by hand.
+/// A routing state with one service. The test applies each event and sets the
+/// time.
 struct RoutingFixture
 {
   RoutingState mState;
@@ -37,7 +38,7 @@
     return listed;
   }
 
-  /// Applies an event; mActions then holds what follows from it alone.
+  /// Applies an event; mActions then holds only the actions of this event.
   template<typename E>
   void Event(const E& aEvent)
   {
@@ -45,6 +46,8 @@
     Apply(mState, aEvent, mNow, mActions);
   }
 
+  /// Lets a request arrive.
+  /// @return its number
   RequestNumber Arrive(Idempotent aIdempotent = Idempotent::No,
                        RouteKind aKind = RouteKind::Short,
                        Millis aDeadline = Millis(2000))
@@ -71,9 +74,10 @@
     return found;
   }
 
-  [[nodiscard]] bool Refused(Rule aRule) const
+  /// @return whether the last event refused a request by this rule
+  [[nodiscard]] bool Refused(RoutingRule aRule) const
   {
-    const auto* end = Find<GiveUp>();
+    const auto* end = Find<EndWithoutAnswer>();
     return end && end->mExplanation.mKind == DecisionKind::Refuse &&
            end->mExplanation.mRule == aRule;
   }
--- a/Tests/LibRouting/TestKeyMemory.cpp
+++ b/Tests/LibRouting/TestKeyMemory.cpp
@@ -18,7 +18,8 @@
 
 TEST_GROUP(KeyMemory){};
 
-// Guards against a repeat that runs again while or after the first ran.
+// Guards against a repeated request that runs again during or after the first
+// one.
 TEST(KeyMemory, RepeatsWaitAndThenGetTheStoredAnswer)
 {
   KeyMemory memory;
@@ -33,8 +34,8 @@
 {
   KeyMemory memory;
   CHECK_TRUE(AdmitKey(memory, "k", kNow) == KeyDecision::Run);
-  FinishKey(memory, "k", Answer(kLargestStoredAnswer + 1), kNow);
-  CHECK_TRUE(AdmitKey(memory, "k", kNow) == KeyDecision::AnswerTooOld);
+  FinishKey(memory, "k", Answer(kMaxStoredAnswerBytes + 1), kNow);
+  CHECK_TRUE(AdmitKey(memory, "k", kNow) == KeyDecision::AnswerTooLarge);
 }
 
 // Guards against a key that stays blocked although its request never ran.
@@ -46,21 +47,22 @@
   CHECK_TRUE(AdmitKey(memory, "k", kNow) == KeyDecision::Run);
 }
 
-// Guards against early loss of entries when memory is full, and against
-// memory that is never given back.
+// Guards against the loss of entries before their expiry when the memory is
+// full, and against memory that is never released.
 TEST(KeyMemory, RefusesNewKeysWhenFullUntilOldOnesExpire)
 {
   KeyMemory memory;
-  memory.mSettings.mMostBytes = 2 * kLargestStoredAnswer;
+  memory.mSettings.mMaxBytes = 2 * kMaxStoredAnswerBytes;
   CHECK_TRUE(AdmitKey(memory, "a", kNow) == KeyDecision::Run);
-  FinishKey(memory, "a", Answer(kLargestStoredAnswer), kNow);
+  FinishKey(memory, "a", Answer(kMaxStoredAnswerBytes), kNow);
   CHECK_TRUE(AdmitKey(memory, "b", kNow) == KeyDecision::Full);
   CHECK_TRUE(AdmitKey(memory, "a", kNow) == KeyDecision::Replay);
   const MonotonicTime later = kNow + kKeyRetentionMs;
   CHECK_TRUE(AdmitKey(memory, "b", later) == KeyDecision::Run);
 }
 
-// Guards against a second run of a key whose entry was lost with its owner.
+// Guards against a second run of a request whose entry was lost with the owner
+// of its key.
 TEST(KeyMemory, AnswersUnknownWhereEntriesMayBeLost)
 {
   for (const auto& [acquisition, copies] :
@@ -75,8 +77,8 @@
   }
 }
 
-// Guards against needless "unknown" where the memory is complete, and against
-// a second run of what the predecessor had running.
+// Guards against "unknown" answers where the copies are complete, and against a
+// second run of requests that the predecessor had running.
 TEST(KeyMemory, TheSuccessorContinuesWithItsCopies)
 {
   KeyMemory memory;
@@ -88,7 +90,8 @@
   CHECK_TRUE(AdmitKey(memory, "new", kNow) == KeyDecision::Run);
 }
 
-// Guards against "unknown" on the first start of a deployment.
+// Guards against "unknown" answers after the first start of a deployment, when
+// no entry can be lost.
 TEST(KeyMemory, TheFirstOwnerStartsComplete)
 {
   KeyMemory memory;
--- a/Tests/LibRouting/TestRouting.cpp
+++ b/Tests/LibRouting/TestRouting.cpp
@@ -19,20 +19,20 @@
   CHECK_EQUAL(ninth, routing.Find<SendToRunner>()->mNumber);
 }
 
-// Guards against watches that take the slots short requests need.
+// Guards against watches that use the slots that short requests need.
 TEST(Routing, LimitsWatchesToTheirShare)
 {
   RoutingFixture routing;
   routing.Arrive(Idempotent::Yes, RouteKind::Watch);
   routing.Arrive(Idempotent::Yes, RouteKind::Watch);
   routing.Arrive(Idempotent::Yes, RouteKind::Watch);
-  CHECK_TRUE(routing.Refused(Rule::WatchShare));
+  CHECK_TRUE(routing.Refused(RoutingRule::WatchShare));
   routing.Arrive();
   CHECK_TRUE(routing.Find<SendToRunner>() != nullptr);
 }
 
 // Guards against requests that wait although they can't be answered in time.
-TEST(Routing, RefusesAtOnceWhatCannotMeetItsDeadline)
+TEST(Routing, RefusesAtOnceARequestThatCannotMeetItsDeadline)
 {
   RoutingFixture routing;
   routing.Arrive();
@@ -42,18 +42,19 @@
     routing.Arrive();
   }
   routing.Arrive(Idempotent::No, RouteKind::Short, Millis(110));
-  CHECK_TRUE(routing.Refused(Rule::DeadlineTooShort));
+  CHECK_TRUE(routing.Refused(RoutingRule::DeadlineTooShort));
   routing.Arrive(Idempotent::No, RouteKind::Short, Millis(200));
-  CHECK_TRUE(routing.Find<GiveUp>() == nullptr);
+  CHECK_TRUE(routing.Find<EndWithoutAnswer>() == nullptr);
 }
 
-// Guards against an estimate that refuses everything and so never changes.
+// Guards against a latency estimate that refuses all requests and therefore
+// never changes, because only answers update it.
 TEST(Routing, RecoversFromAnEstimateThatRefusesEverything)
 {
   RoutingFixture routing;
   routing.mState.mServices[0].mMeanServiceUs = 2.5e6;
   routing.Arrive();
-  CHECK_TRUE(routing.Refused(Rule::DeadlineTooShort));
+  CHECK_TRUE(routing.Refused(RoutingRule::DeadlineTooShort));
   // 0.98^12 of 2.5 s is less than the deadline of 2 s.
   for (int i = 0; i < 12; ++i) {
     routing.Arrive();
@@ -70,7 +71,7 @@
   }
   routing.mNow += Millis(2001);
   routing.Event(Tick{});
-  CHECK_TRUE(routing.Refused(Rule::DeadlinePassed));
+  CHECK_TRUE(routing.Refused(RoutingRule::DeadlinePassed));
 }
 
 // Guards against a second run of a request that must not run twice.
@@ -78,25 +79,26 @@
 {
   RoutingFixture routing(2);
   const RequestNumber number = routing.Arrive();
-  routing.Event(TryEnded{ number, TryResult::Broken });
+  routing.Event(TryEnded{ number, TryResult::NoValidAnswer });
   CHECK_TRUE(routing.Find<SendToRunner>() == nullptr);
-  CHECK_TRUE(routing.Find<GiveUp>()->mExplanation.mKind ==
+  CHECK_TRUE(routing.Find<EndWithoutAnswer>()->mExplanation.mKind ==
              DecisionKind::Unknown);
 }
 
-// Guards against a refusal "not run" after an earlier try that may have run.
+// Guards against the answer "not run" after an earlier try that may have run.
 TEST(Routing, StaysUnknownWhenALaterTryWasNotSent)
 {
   RoutingFixture routing(3);
   const RequestNumber number = routing.Arrive(Idempotent::Yes);
-  routing.Event(TryEnded{ number, TryResult::Broken });
+  routing.Event(TryEnded{ number, TryResult::NoValidAnswer });
   routing.Event(TryEnded{ number, TryResult::NotSent });
   routing.Event(TryEnded{ number, TryResult::NotSent });
-  CHECK_TRUE(routing.Find<GiveUp>()->mExplanation.mKind ==
+  CHECK_TRUE(routing.Find<EndWithoutAnswer>()->mExplanation.mKind ==
              DecisionKind::Unknown);
 }
 
-// Guards against giving up although the request surely was not run.
+// Guards against a refusal although the request certainly did not run and could
+// be tried at another runner.
 TEST(Routing, RetriesAnUnsentRequestAtAnotherRunner)
 {
   RoutingFixture routing(2);
@@ -117,21 +119,21 @@
     const RequestNumber number = routing.Arrive(Idempotent::Yes);
     while (routing.Find<SendToRunner>() != nullptr) {
       ++sends;
-      routing.Event(TryEnded{ number, TryResult::Withheld });
+      routing.Event(TryEnded{ number, TryResult::ShardNotOwned });
       routing.Event(TryEnded{ number, TryResult::NotSent });
       for (Runner& runner : routing.mState.mServices[0].mRunners) {
-        runner.mFailures = 0; // Only the budget shall limit here.
+        runner.mFailures = 0; // Only the budget limits retries here.
       }
     }
   }
   const int retries = static_cast<int>(kRequests * 0.1) + 20;
-  CHECK_TRUE(routing.mState.mRetryBudget.mRetries < 1);
+  CHECK_TRUE(routing.mState.mRetryBudget.mAvailableRetries < 1);
   CHECK_TRUE(sends <= kRequests * 2 + retries);
 }
 
-// Guards against requests that go on to a runner that is known to fail, and
-// against one that never gets requests again.
-TEST(Routing, SuspectsAfterThreeFailuresAndReturnsAfterOneSuccess)
+// Guards against requests that are still sent to a runner known to fail, and
+// against a recovered runner that never gets requests again.
+TEST(Routing, SuspectsARunnerAfterThreeFailuresUntilOneSuccess)
 {
   RoutingFixture routing;
   routing.Event(ProbeEnded{ { 0, 0 }, false });
@@ -140,7 +142,7 @@
   CHECK_TRUE(routing.Find<SendToRunner>() != nullptr);
   routing.Event(ProbeEnded{ { 0, 0 }, false });
   routing.Arrive();
-  CHECK_TRUE(routing.Refused(Rule::NoRunner));
+  CHECK_TRUE(routing.Refused(RoutingRule::NoRunner));
   routing.mNow += Millis(500);
   routing.Event(Tick{});
   CHECK_TRUE(routing.Find<ProbeRunner>() != nullptr);
@@ -149,8 +151,9 @@
   CHECK_TRUE(routing.Find<SendToRunner>() != nullptr);
 }
 
-// Guards against judging a runner by one silent connection.
-TEST(Routing, ProbesInsteadOfJudgingAfterATimeOut)
+// Guards against a runner that counts as failing because of one connection that
+// stopped without an error.
+TEST(Routing, ProbesARunnerAfterATimeOutWithoutCountingAFailure)
 {
   RoutingFixture routing;
   const RequestNumber number = routing.Arrive();
@@ -159,27 +162,27 @@
   CHECK_EQUAL(0U, routing.mState.mServices[0].mRunners[0].mFailures);
 }
 
-// Guards against a slot that is given away while the runner may still work on
-// a request whose connection broke.
-TEST(Routing, HoldsTheSlotOfABrokenRequestAsLongAsItMayRun)
+// Guards against a slot that is assigned again while the runner may still work
+// on a request whose connection broke.
+TEST(Routing, HoldsTheSlotAfterABrokenConnectionWhileTheRequestMayRun)
 {
   RoutingFixture routing;
   const RequestNumber number = routing.Arrive();
-  routing.Event(TryEnded{ number, TryResult::Broken });
-  CHECK_EQUAL(1, routing.Load().mInUse);
+  routing.Event(TryEnded{ number, TryResult::NoValidAnswer });
+  CHECK_EQUAL(1, routing.Load().mSlotsInUse);
   CHECK_FALSE(IsQuiescent(routing.mState, "s", routing.mNow));
   // The deadline of 2 s has passed; the longest run of 4 s has not.
   routing.mNow += Millis(4499);
   routing.Event(Tick{});
-  CHECK_EQUAL(1, routing.Load().mInUse);
+  CHECK_EQUAL(1, routing.Load().mSlotsInUse);
   routing.mNow += Millis(1);
   routing.Event(Tick{});
-  CHECK_EQUAL(0, routing.Load().mInUse);
+  CHECK_EQUAL(0, routing.Load().mSlotsInUse);
   CHECK_TRUE(IsQuiescent(routing.mState, "s", routing.mNow));
 }
 
-// Guards against a ninth request at a slow runner that still works on requests
-// whose callers were told "unknown".
+// Guards against a ninth request at a slow runner that still works on eight
+// requests whose callers got the answer "unknown".
 TEST(Routing, HoldsTheSlotOfATimedOutRequestPastItsDeadline)
 {
   RoutingFixture routing;
@@ -192,7 +195,7 @@
   }
   routing.Arrive();
   CHECK_TRUE(routing.Find<SendToRunner>() == nullptr);
-  CHECK_EQUAL(8, routing.Load().mInUse);
+  CHECK_EQUAL(8, routing.Load().mSlotsInUse);
 }
 
 // Guards against new requests to a runner that is leaving.
@@ -203,16 +206,17 @@
   listed.mRunners[0].mLeaving = true;
   routing.Event(listed);
   routing.Arrive();
-  CHECK_TRUE(routing.Refused(Rule::NoRunner));
+  CHECK_TRUE(routing.Refused(RoutingRule::NoRunner));
 }
 
-// Guards against using slots that the predecessor's requests still hold.
+// Guards against the use of slots in which requests of the previous owner may
+// still run.
 TEST(Routing, CountsSlotsAsTakenAfterATakeover)
 {
   RoutingFixture routing;
   routing.Event(ShardLost{ "s" });
   routing.Arrive();
-  CHECK_TRUE(routing.Refused(Rule::NoRunner));
+  CHECK_TRUE(routing.Refused(RoutingRule::NoRunner));
   routing.Event(
     ShardAcquired{ "s", { 2, Acquisition::Successor, routing.mNow } });
   CHECK_EQUAL(0, routing.Load().mUsableSlots);
@@ -229,15 +233,16 @@
   CHECK_EQUAL(2, routing.Load().mUsableWatchSlots);
 }
 
-// Guards against a hand-over while a predecessor's requests may still run, and
-// against one that stops the runners until the last watch has ended.
+// Guards against a hand-over while short requests of a previous owner may still
+// run, and against a hand-over that leaves the runners without requests until
+// the last watch has ended.
 TEST(Routing, IsQuiescentWhenNoShortRequestCanRun)
 {
   RoutingFixture routing;
   routing.Event(ShardLost{ "s" });
   routing.Event(
     ShardAcquired{ "s", { 2, Acquisition::Successor, routing.mNow } });
-  // The keeper withholds a shard before it asks.
+  // The lease keeper reports a shard as lost before it asks.
   routing.Event(ShardLost{ "s" });
   CHECK_FALSE(IsQuiescent(routing.mState, "s", routing.mNow));
   CHECK_FALSE(IsQuiescent(routing.mState, "s", routing.mNow + Millis(4499)));
@@ -247,9 +252,9 @@
   CHECK_TRUE(IsQuiescent(watched.mState, "s", watched.mNow));
 }
 
-// Guards against idle slots after a hand-over, and against slots that the
-// predecessor's watches still hold.
-TEST(Routing, KeepsOnlyWatchSlotsBackAfterAHandOver)
+// Guards against idle slots after a hand-over, and against the use of slots in
+// which watches of the previous owner may still run.
+TEST(Routing, ReservesOnlyWatchSlotsAfterAHandOver)
 {
   RoutingFixture routing;
   routing.Event(ShardLost{ "s" });
@@ -262,8 +267,8 @@
   CHECK_EQUAL(8, routing.Load().mUsableSlots);
 }
 
-// Guards against requests that are refused while a peer has free slots, are
-// sent to a far peer first, or travel in circles.
+// Guards against requests that are refused while a peer has free slots, that
+// are sent to a distant peer first, or that are forwarded in a loop.
 TEST(Routing, ForwardsOnceToTheNearestPeerWithFreeSlots)
 {
   RoutingFixture routing(0);
@@ -271,23 +276,23 @@
   routing.Event(PeerReported{ "near", 0, { { "desk", { 1, 0 } } } });
   const RequestNumber number = routing.Arrive();
   STRCMP_EQUAL("near", routing.Find<ForwardToPeer>()->mPeer.c_str());
-  routing.Event(TryEnded{ number, TryResult::PeerNotRun });
-  CHECK_TRUE(routing.Refused(Rule::NoRunner));
+  routing.Event(TryEnded{ number, TryResult::RefusedByPeer });
+  CHECK_TRUE(routing.Refused(RoutingRule::NoRunner));
   routing.Arrive();
   STRCMP_EQUAL("far", routing.Find<ForwardToPeer>()->mPeer.c_str());
   routing.mNow += Millis(501);
   routing.Arrive();
-  CHECK_TRUE(routing.Refused(Rule::NoRunner));
+  CHECK_TRUE(routing.Refused(RoutingRule::NoRunner));
 }
 
-// Guards against a policy that ignores load, and against a baseline that
-// settings can't select.
+// Guards against a policy that ignores the load of runners, and against a
+// policy name that selects another policy.
 TEST(Routing, PoliciesChooseAsNamed)
 {
   RoutingFixture least(2);
-  least.mState.mServices[0].mLoads[0].mInUse = 3;
+  least.mState.mServices[0].mLoads[0].mSlotsInUse = 3;
   RoutingFixture turns(2, "round-robin");
-  turns.mState.mServices[0].mLoads[0].mInUse = 3;
+  turns.mState.mServices[0].mLoads[0].mSlotsInUse = 3;
   int leastBusy = 0;
   int turnsBusy = 0;
   for (int i = 0; i < 2; ++i) {
--- a/Tests/LibRouting/TestSlotInvariant.cpp
+++ b/Tests/LibRouting/TestSlotInvariant.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::size_t kOwners = 3;
+constexpr std::size_t kGateways = 3;
 constexpr std::size_t kRunners = 4;
 
-/// What really runs at a runner. An abandoned request goes on past its
-/// deadline, as long as the service's document allows.
+/// A request that really runs at a runner. An abandoned request runs on past
+/// its deadline, for as long as the limits of the service allow.
 struct Running
 {
   std::size_t mOwner = 0;
@@ -20,25 +20,25 @@
   std::size_t mRunner = 0;
   RouteKind mKind = RouteKind::Short;
   MonotonicTime mRunsUntil{};
-  bool mAbandoned = false; ///< Its gateway gave up or lost the shard.
+  bool mAbandoned = false; ///< Its gateway no longer waits for it.
 };
 
-/// Several gateways that own the same shard in turns.
-class World
+/// Simulates several gateways that own the same shard one after another.
+class SlotSimulation
 {
 public:
-  explicit World(unsigned aSeed)
+  explicit SlotSimulation(unsigned aSeed)
     : mRandom(aSeed)
-    , mGateways(kOwners, RoutingFixture(kRunners))
+    , mGateways(kGateways, RoutingFixture(kRunners))
   {
-    for (std::size_t i = 1; i < kOwners; ++i) {
+    for (std::size_t i = 1; i < kGateways; ++i) {
       mGateways[i].Event(ShardLost{ "s" });
     }
   }
 
   void Step()
   {
-    mNow += Millis(Pick(40));
+    mNow += Millis(RandomBelow(40));
     for (RoutingFixture& gateway : mGateways) {
       gateway.mNow = mNow;
     }
@@ -46,7 +46,7 @@
       return aRunning.mRunsUntil <= mNow;
     });
     TickOwner();
-    switch (Pick(40)) {
+    switch (RandomBelow(40)) {
       case 0:
         ChangeOwner();
         break;
@@ -54,16 +54,16 @@
       case 2:
       case 3:
       case 4:
-        EndOne(TryResult::Broken);
+        EndRandomRequest(TryResult::NoValidAnswer);
         break;
       default:
-        Pick(3) == 0 ? EndOne(TryResult::Answered) : Arrive();
+        RandomBelow(3) == 0 ? EndRandomRequest(TryResult::Answered) : Arrive();
     }
-    Check();
+    CheckSlotLimits();
   }
 
 private:
-  std::size_t Pick(std::size_t aBelow)
+  std::size_t RandomBelow(std::size_t aBelow)
   {
     return static_cast<std::size_t>(mRandom() % aBelow);
   }
@@ -71,20 +71,21 @@
   void TickOwner()
   {
     mGateways[mOwner].Event(Tick{});
-    Collect();
+    StartSentRequests();
   }
 
   void Arrive()
   {
-    const bool watch = Pick(8) == 0;
-    mGateways[mOwner].Arrive(Pick(2) == 0 ? Idempotent::Yes : Idempotent::No,
+    const bool watch = RandomBelow(8) == 0;
+    mGateways[mOwner].Arrive(RandomBelow(2) == 0 ? Idempotent::Yes
+                                                 : Idempotent::No,
                              watch ? RouteKind::Watch : RouteKind::Short,
-                             Millis(watch ? 120000 : 100 + Pick(1900)));
-    Collect();
+                             Millis(watch ? 120000 : 100 + RandomBelow(1900)));
+    StartSentRequests();
   }
 
-  /// Starts what the owner's last event sent.
-  void Collect()
+  /// Starts the requests that the owner's last event sent to runners.
+  void StartSentRequests()
   {
     RoutingFixture& gateway = mGateways[mOwner];
     for (const RoutingAction& action : gateway.mActions) {
@@ -105,51 +106,53 @@
     gateway.mActions.clear();
   }
 
-  void EndOne(TryResult aResult)
+  void EndRandomRequest(TryResult aResult)
   {
-    std::vector<std::size_t> mine;
+    std::vector<std::size_t> ownRequests;
     for (std::size_t i = 0; i < mRunning.size(); ++i) {
       if (mRunning[i].mOwner == mOwner && !mRunning[i].mAbandoned) {
-        mine.push_back(i);
+        ownRequests.push_back(i);
       }
     }
-    if (mine.empty()) {
+    if (ownRequests.empty()) {
       return;
     }
-    const std::size_t index = mine[Pick(mine.size())];
+    const std::size_t index = ownRequests[RandomBelow(ownRequests.size())];
     const RequestNumber number = mRunning[index].mNumber;
     if (aResult == TryResult::Answered) {
       mRunning.erase(mRunning.begin() + static_cast<std::ptrdiff_t>(index));
     } else {
-      mRunning[index].mAbandoned = true; // The runner goes on with it.
+      mRunning[index].mAbandoned = true; // The runner still works on it.
     }
     mGateways[mOwner].Event(TryEnded{ number, aResult });
-    Collect();
+    StartSentRequests();
   }
 
-  /// The owner dies, or hands over if nothing is in flight.
+  /// Ends the ownership of the current owner: it hands the shard over if
+  /// nothing is in flight, and else it dies.
   void ChangeOwner()
   {
-    const bool quiet = IsQuiescent(mGateways[mOwner].mState, "s", mNow);
+    const bool quiescent = IsQuiescent(mGateways[mOwner].mState, "s", mNow);
     for (Running& running : mRunning) {
       running.mAbandoned = true;
     }
-    const std::size_t next = (mOwner + 1) % kOwners;
-    // The former owner restarts: its memory of requests is gone.
+    const std::size_t next = (mOwner + 1) % kGateways;
+    // The previous owner restarts and has lost its state.
     mGateways[mOwner] = RoutingFixture(kRunners);
     mGateways[mOwner].mNow = mNow;
     mGateways[mOwner].Event(ShardLost{ "s" });
     mGateways[next].mState.mPending.clear();
     const Acquisition acquisition =
-      quiet ? Acquisition::HandOver
-            : (Pick(2) == 0 ? Acquisition::Successor : Acquisition::Takeover);
+      quiescent ? Acquisition::HandOver
+                : (RandomBelow(2) == 0 ? Acquisition::Successor
+                                       : Acquisition::Takeover);
     mOwner = next;
     mGateways[mOwner].Event(
       ShardAcquired{ "s", { ++mEpoch, acquisition, mNow } });
-    Collect();
+    StartSentRequests();
   }
 
-  void Check() const
+  void CheckSlotLimits() const
   {
     std::map<std::size_t, unsigned> all;
     std::map<std::size_t, unsigned> watches;
@@ -173,14 +176,15 @@
 
 TEST_GROUP(SlotInvariant){};
 
-// Guards against more than 8 requests, or 2 watches, at a runner at any
-// moment, while connections break and owners die or hand over.
+// Guards against more than 8 requests or more than 2 watches at a runner at the
+// same time. That could happen when the slot of a request whose connection
+// broke or whose owner was replaced is used again while the request still runs.
 TEST(SlotInvariant, HoldsAcrossRandomOwnerChanges)
 {
   for (const unsigned seed : { 1U, 2U, 3U, 4U, 5U }) {
-    World world(seed);
+    SlotSimulation simulation(seed);
     for (int step = 0; step < 20000; ++step) {
-      world.Step();
+      simulation.Step();
     }
   }
 }
--- a/Tests/Measure/MeasureLease.cpp
+++ b/Tests/Measure/MeasureLease.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <string>
 
-#include <LibLease/LeaseWorld.h>
+#include <LibLease/LeaseSimulation.h>
 
 using namespace paddle;
 
@@ -17,14 +17,14 @@
 void
 Measure(int aProcesses)
 {
-  LeaseWorld world(LeaseWorldSettings{});
+  LeaseSimulation simulation(LeaseSimulationSettings{});
   for (int i = 0; i < aProcesses; ++i) {
-    world.Start("m" + std::to_string(i), "dc-" + std::to_string(i % 3));
+    simulation.Start("m" + std::to_string(i), "dc-" + std::to_string(i % 3));
   }
-  world.RunFor(kSettleTime);
-  const TableCounters before = world.Counters();
-  world.RunFor(kMeasuredTime);
-  const TableCounters after = world.Counters();
+  simulation.RunFor(kSettleTime);
+  const TableCounters before = simulation.Counters();
+  simulation.RunFor(kMeasuredTime);
+  const TableCounters after = simulation.Counters();
   const auto perSecond = [](std::uint64_t aBefore, std::uint64_t aAfter) {
     return static_cast<double>(aAfter - aBefore) /
            static_cast<double>(kMeasuredTime.count());
