--- a/Libraries/LibGateway/RequestRecord.cpp
+++ b/Libraries/LibGateway/RequestRecord.cpp
@@ -138,7 +138,7 @@
   record.mFigures = {
     { figure::kDeadlineMs, InMillis(why.mTimeToDeadline) },
     { figure::kExpectedMs, InMillis(why.mExpectedResponseTime) },
-    { figure::kAhead, why.mWaiting },
+    { figure::kAhead, why.mWaitingRequests },
     { figure::kTries, why.mTries },
   };
   if (why.mKind != DecisionKind::Serve) {
--- a/Libraries/LibLease/LeaseKeeper.cpp
+++ b/Libraries/LibLease/LeaseKeeper.cpp
@@ -14,11 +14,12 @@
 
 namespace {
 
-/// Interval at which the decisions are asked for something to do. Takeovers
-/// and hand-overs begin at most this late.
+/// Interval at which the keeper checks for actions that are due. Takeovers and
+/// hand-overs begin at most this much late.
 constexpr Millis kTickMs{ 100 };
 
-/// A promise is of use only if it arrives well before the term ends.
+/// Time-out of a request for a promise. A promise is useful only if it arrives
+/// well before the term ends.
 constexpr Millis kPromiseTimeoutMs{ 500 };
 
 MonotonicTime
@@ -64,11 +65,11 @@
               static_cast<int>(Acquisition::HandOver) ==
                 static_cast<int>(ShardAcquisition::HandOver));
 
-/// What became of an action.
+/// Result of an action.
 enum class ActionOutcome
 {
   Done,
-  Failed ///< The table service failed; the next action waits for a tick.
+  Failed ///< The table service failed; continue after a tick.
 };
 
 } // namespace
@@ -122,7 +123,7 @@
   }
 }
 
-/// Does everything that is due now.
+/// Carries out all actions that are due now.
 void
 LeaseKeeper::State::RunDueActions()
 {
@@ -145,8 +146,8 @@
   }
 }
 
-/// Asks whether the stopping shards are quiescent. The function is called
-/// without the lock, because it may ask the keeper in turn.
+/// Determines which of the stopping shards are quiescent. The function that was
+/// set for this is called without the lock, because it may call the keeper.
 void
 LeaseKeeper::State::UpdateQuiescence()
 {
@@ -388,7 +389,8 @@
   BeginLeave(state.mLease, Now());
   const auto left = [&state] { return state.mLease.mHasLeft || state.mStop; };
   if (!state.mWake.wait_for(lock, aLimit, left)) {
-    // A last chance to delete the session row, so that nobody waits for it.
+    // Try once more to delete the session row, so that no other process waits
+    // for the end of the term.
     state.mLease.mEndWithoutHandOver = true;
     state.mWake.wait_for(lock, kPromiseTimeoutMs, left);
   }
--- a/Libraries/LibLease/LeaseKeeper.h
+++ b/Libraries/LibLease/LeaseKeeper.h
@@ -16,7 +16,7 @@
 
 namespace paddle {
 
-/// One running process of ours, as its session row describes it.
+/// One running process of this project, as its session row describes it.
 struct Member
 {
   std::string mName;        ///< Unique among live processes.
@@ -35,13 +35,14 @@
   std::string mRegion;
 };
 
-/// How the present owner got its shard; decides what it may assume.
+/// How the current owner acquired its shard. This determines what the owner may
+/// assume about work and data of the previous owner.
 enum class Acquisition
 {
-  FirstOwner, ///< The shard never had an owner: nothing can be left over.
-  HandOver,   ///< The predecessor stopped its work on the shard and gave it.
-  Successor,  ///< Taken as the predecessor's named successor.
-  Takeover    ///< Taken by anyone else: copies at the successor are lost.
+  FirstOwner, ///< The shard never had an owner, so no work can be left.
+  HandOver,   ///< The previous owner stopped its work, then gave it away.
+  Successor,  ///< Taken by the previous owner's named successor.
+  Takeover    ///< Taken by another process; the successor's copies are lost.
 };
 
 /// A shard that this process owns now.
@@ -52,27 +53,30 @@
   MonotonicTime mSince; ///< When this process became the owner.
 };
 
+/// Time settings of a lease.
 struct LeaseSettings
 {
   Millis mTerm{ 3000 };
   Millis mRenewInterval{ 1000 };
-  /// How long anyone but the successor waits before a takeover.
+  /// How long processes other than the successor wait before a takeover.
   Millis mForeignTakeoverWait{ 660000 };
 };
 
-/// Asks another process for a promise; calls the RPC method lease.promise.
+/// Asks another process for the promise not to end this process's session for a
+/// term; calls the RPC method lease.promise.
 using PromiseCaller =
   std::function<Outcome<Json::Value>(const Endpoint& aPeer,
                                      const Json::Value& aParameters,
                                      Millis aTimeout)>;
 
-/// Keeps this process's session and the shards it owns; runs one thread.
-/// All functions may be called from several threads.
+/// Keeps the session of this process in the table service and the shards that
+/// it owns. It runs one thread. All functions may be called from several
+/// threads.
 class LeaseKeeper
 {
 public:
-  /// Starts the session. While the table service can't be reached, the
-  /// process has no session and Owns() answers nothing.
+  /// Starts the thread, which creates the session. While the table service
+  /// can't be reached, the process gets no session and Owns() returns nothing.
   LeaseKeeper(LeaseSettings aSettings,
               Member aSelf,
               TablePort aTable,
@@ -85,30 +89,31 @@
   /// this role. Called again whenever the list changes.
   void SetShards(std::vector<ShardSpec> aShards);
 
-  /// @return the ownership if the lease holds at this moment, checked against
-  ///         the monotonic clock at each call
+  /// @return the ownership if the lease is valid now, by the monotonic clock at
+  ///         the time of the call; else nothing
   [[nodiscard]] std::optional<Ownership> Owns(std::string_view aShard) const;
 
-  /// @return the owner by the latest table read, live or not; nothing if the
-  ///         shard never had one
+  /// @return the owner as of the latest read of the table, live or not; nothing
+  ///         if the shard never had one
   [[nodiscard]] std::optional<Member> OwnerOf(std::string_view aShard) const;
 
-  /// @return this process's named successor, if there is one
+  /// @return the named successor of this process, if there is one
   [[nodiscard]] std::optional<Member> SuccessorOfSelf() const;
 
-  /// @return the live members of a role by the latest table read, including
-  ///         this process
+  /// @return the live members of a role as of the latest read of the table,
+  ///         including this process
   [[nodiscard]] std::vector<Member> Members(std::string_view aRole) const;
 
-  /// @return whether the session's lease holds at this moment
+  /// @return whether the lease of the session is valid now
   [[nodiscard]] bool SessionValid() const;
 
-  /// Answers the RPC method lease.promise.
+  /// Implements the RPC method lease.promise.
   Outcome<Json::Value> HandlePromise(const Json::Value& aParameters);
 
-  /// Asked before a hand-over: returns whether the shard is quiescent (no
-  /// work in flight); until then the keeper refuses Owns() for new work and
-  /// asks again.
+  /// Sets the function that is called before a hand-over and returns whether
+  /// the shard is quiescent (no work is in flight). Until it returns true,
+  /// Owns() returns nothing for the shard, so that no new work begins, and the
+  /// function is called again.
   void SetQuiescent(std::function<bool(std::string_view aShard)> aQuiescent);
 
   /// Hands over all shards and ends the session, for an orderly stop.
--- a/Libraries/LibLease/LeaseRowText.cpp
+++ b/Libraries/LibLease/LeaseRowText.cpp
@@ -9,6 +9,7 @@
 
 namespace {
 
+/// Stored texts of ShardAcquisition, in the order of its values.
 constexpr const char* kAcquisitions[] = { "first",
                                           "hand-over",
                                           "successor",
@@ -69,18 +70,21 @@
       return static_cast<ShardAcquisition>(i);
     }
   }
-  // The most careful assumption.
+  // An unknown text counts as a takeover, for which the fewest assumptions
+  // hold.
   return ShardAcquisition::Takeover;
 }
 
-/// Parses a row and converts it; a member of the wrong type is an error.
+/// Parses the JSON text of a row and converts it. A member of the wrong type is
+/// an error.
 template<typename Record, typename Convert>
 Outcome<Record>
 ParseRow(const std::string& aText, const char* aKind, Convert aConvert)
 {
   Json::Value root;
   std::string errors;
-  // Costs more to build than a row costs to parse.
+  // The builder is static, because its construction takes longer than parsing a
+  // row.
   static const Json::CharReaderBuilder sBuilder;
   const std::unique_ptr<Json::CharReader> reader(sBuilder.newCharReader());
   if (!reader->parse(
--- a/Libraries/LibLease/LeaseRowText.h
+++ b/Libraries/LibLease/LeaseRowText.h
@@ -7,11 +7,13 @@
 
 namespace paddle {
 
-/// @return the value of a row as stored, or nothing for a deletion
+/// @return the text that is stored as the value of a row, or nothing for a
+///         deletion
 std::optional<std::string>
 LeaseRowText(const LeaseRowValue& aValue);
 
-/// @name Parse row values; an error of kind Internal says what is malformed.
+/// @name Functions that parse row values; errors are of kind Internal and say
+/// what is malformed.
 /// @{
 Outcome<SessionRecord>
 ParseSessionRecord(const std::string& aText);
--- a/Libraries/LibLease/LeaseTable.cpp
+++ b/Libraries/LibLease/LeaseTable.cpp
@@ -58,7 +58,8 @@
   return rows;
 }
 
-/// The own session is the condition that every action but End begins with.
+/// @return the own session row from the conflict of a renewal, if it is there.
+///         The key of that row is the first condition of a renewal.
 std::optional<LeaseRow<SessionRecord>>
 FindOwnSession(const WriteLeaseRows& aAction, const Conflict& aConflict)
 {
@@ -153,7 +154,8 @@
     case LeaseReadPart::Sessions:
       return ScanSessions(aTable);
   }
-  return Error{ ErrorKind::Internal, "no such part of a read" };
+  return Error{ ErrorKind::Internal,
+                "unknown part of a read of the lease rows" };
 }
 
 } // namespace paddle
--- a/Libraries/LibLease/LeaseTable.h
+++ b/Libraries/LibLease/LeaseTable.h
@@ -9,8 +9,7 @@
 LeaseWriteResult
 ExecuteWrite(const TablePort& aTable, const WriteLeaseRows& aAction);
 
-/// Reads one part of the rows that the lease decisions ask for. A malformed row
-/// is logged and left out.
+/// Reads one part of the lease rows. A malformed row is logged and left out.
 Outcome<LeaseRows>
 ExecuteRead(const TablePort& aTable, const ReadLeaseRows& aAction);
 
--- a/Libraries/LibLeaseCore/LeaseActions.h
+++ b/Libraries/LibLeaseCore/LeaseActions.h
@@ -125,8 +125,8 @@
 {
   LeaseWriteStatus mStatus = LeaseWriteStatus::Unknown;
   std::uint64_t mVersion = 0; ///< Committed: version of the written rows.
-  /// Conflict: the own session row, if its condition did not hold and the
-  /// row exists.
+  /// Conflict: the own session row, if its condition did not hold and the row
+  /// exists.
   std::optional<LeaseRow<SessionRecord>> mOwnSession;
 };
 
--- a/Libraries/LibLeaseCore/LeaseDecisions.cpp
+++ b/Libraries/LibLeaseCore/LeaseDecisions.cpp
@@ -12,20 +12,23 @@
 
 namespace {
 
-/// Shards that stop at one time for a better owner; the others keep serving.
+/// Number of shards that may stop at the same time for a hand-over to a better
+/// owner. The other shards continue to serve.
 constexpr std::size_t kMaxStoppingShards = 4;
 
-/// A shard that does not become quiescent in this time goes on with its owner,
-/// because callers would wait too long.
+/// A shard that does not become quiescent within this time stays with its
+/// owner, because callers would wait too long.
 constexpr Millis kMaxStopTimeMs{ 2000 };
 
-/// Pause before the next attempt to hand over such a shard.
+/// Time before the next attempt to hand over such a shard.
 constexpr Millis kHandOverRetryPauseMs{ 30000 };
 
+/// @return a request for a promise while renewals fail or are late, or nothing
+///         if none is due
 std::optional<LeaseAction>
 NextPromise(LeaseState& aState, MonotonicTime aNow)
 {
-  // A slow table service can use up the term without a failure.
+  // A slow table service can delay renewals past the term without a failure.
   const bool late =
     aState.mSessionVersion != 0 && aState.mConfirmedSentAt != kDistantPast &&
     aNow >= aState.mConfirmedSentAt + aState.mConfirmedRenewal.mTerm / 2;
@@ -34,7 +37,8 @@
     return std::nullopt;
   }
   if (aNow >= aState.mNextPromise && SessionHolds(aState, aNow)) {
-    // Each second at the usual term; two requests may be lost.
+    // This is once per second at the default term, so that two requests may be
+    // lost before the term ends.
     aState.mNextPromise = aNow + aState.mConfirmedRenewal.mTerm / 3;
     aState.mPromisesToAsk.clear();
     for (const auto& [name, member] : aState.mPossibleSuccessors) {
@@ -52,8 +56,8 @@
   return ask;
 }
 
-/// @return the next part of the read under way, or the first of a new read if
-///         one is due
+/// @return the next part of the read in progress, or the first part of a new
+///         read if one is due
 std::optional<LeaseAction>
 NextRead(LeaseState& aState, MonotonicTime aNow)
 {
@@ -73,6 +77,8 @@
   return read;
 }
 
+/// @return whether this process may create a session: it has none, and no row
+///         has its name
 bool
 ShouldCreateSession(const LeaseState& aState)
 {
@@ -80,7 +86,8 @@
          !aState.mSessions.contains(aState.mSelf.mName);
 }
 
-/// @return whether the shard has a better owner that has proved to be stable
+/// @return whether another process would be a better owner of the shard and has
+///         had its session for at least a term
 bool
 HasBetterOwner(const LeaseState& aState,
                const ShardPlace& aPlace,
@@ -95,6 +102,7 @@
   return aNow >= session.mFirstSeen + session.mRecord.mTerm;
 }
 
+/// Begins to stop the work of a shard.
 void
 StopShard(LeaseState& aState, const std::string& aShard, MonotonicTime aNow)
 {
@@ -102,8 +110,8 @@
     aShard, StoppingShard{ aNow, false, std::nullopt });
 }
 
-/// Goes on with shards that were to be handed over, where the better owner is
-/// gone or the work does not end.
+/// Resumes shards that were stopping for a hand-over if the better owner is
+/// gone or the work does not stop in time.
 void
 ResumeShards(LeaseState& aState,
              std::span<const LeaseMember* const> aCandidates,
@@ -126,7 +134,8 @@
   }
 }
 
-/// Chooses the shards whose work stops now.
+/// Chooses the shards whose work stops now: all of them in an orderly stop,
+/// else some of those that have a better owner.
 void
 UpdateStoppingShards(LeaseState& aState, MonotonicTime aNow)
 {
@@ -154,7 +163,7 @@
   }
 }
 
-/// Marks a hand-over as unsettled before it is sent.
+/// Records before a hand-over is sent that its result is not known.
 void
 MarkHandOverSent(LeaseState& aState, const WriteLeaseRows& aAction)
 {
@@ -168,6 +177,8 @@
   }
 }
 
+/// @return a transaction that hands over or takes shards, or nothing if none is
+///         due
 std::optional<LeaseAction>
 NextShardAction(LeaseState& aState, MonotonicTime aNow)
 {
@@ -188,6 +199,8 @@
   return std::nullopt;
 }
 
+/// @return the transaction that ends the own session once an orderly stop has
+///         come that far
 std::optional<LeaseAction>
 NextStepOfLeaving(LeaseState& aState, MonotonicTime aNow)
 {
@@ -201,7 +214,7 @@
     return std::nullopt;
   }
   aState.mHandedOverAll = aState.mHeldShards.empty();
-  // The row may be gone from here on, whatever the answer says.
+  // From now on the row may be deleted, whatever result is reported.
   aState.mValidUntil = kDistantPast;
   aState.mPromisedUntil.clear();
   return MakeOwnSessionEnd(aState);
--- a/Libraries/LibLeaseCore/LeaseQueries.cpp
+++ b/Libraries/LibLeaseCore/LeaseQueries.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-/// @return whether all possible successors have promised to wait. A promise
-///         does not count beyond the wait of all other processes.
+/// @return whether all possible successors have promised not to end the
+///         session. A promise does not count after the time at which all other
+///         processes may take over.
 bool
 PromisesHold(const LeaseState& aState, MonotonicTime aNow)
 {
@@ -52,7 +53,8 @@
 bool
 IsSuspect(const LeaseState& aState, const SeenSession& aSession)
 {
-  // Judged as of the last read, so that a store outage makes nobody suspect.
+  // The time of the last read counts, not the present, so that an outage of the
+  // table service does not make sessions suspect.
   return aState.mLastRead - aSession.mWatchedSince >=
          TakerTerm(aSession.mRecord.mTerm);
 }
@@ -104,7 +106,8 @@
 std::vector<const LeaseMember*>
 OwnerCandidates(const LeaseState& aState)
 {
-  // The own row may be missing or old in the last read.
+  // This process is added here, because its own row may be absent or outdated
+  // in the last read.
   std::vector<const LeaseMember*> members = StayingPeers(aState);
   if (aState.mSessionVersion != 0 && !aState.mLeaving) {
     members.push_back(&aState.mSelf);
@@ -119,9 +122,9 @@
     return true;
   }
   if (aState.mHeldShards.empty()) {
-    // New owners learn of a hand-over by their next read. They find this
-    // process's address there as long as its session exists, and may fetch
-    // what belongs to the shard.
+    // New owners learn of a hand-over with their next read. While the session
+    // exists, the read also gives them the address of this process, from which
+    // they may fetch the data of the shard.
     return aState.mLastHandOver == kDistantPast ||
            aNow >= aState.mLastHandOver + RenewInterval(aState) * 3 / 2;
   }
--- a/Libraries/LibLeaseCore/LeaseReports.cpp
+++ b/Libraries/LibLeaseCore/LeaseReports.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-/// The own session was ended. The next one gets another generation, so that
-/// shard rows which still name this one stay without a live owner.
+/// Forgets the own session, which was ended, and its shards. The next session
+/// gets another generation, so that shard rows that still name this session
+/// have no live owner.
 void
 ForgetOwnSession(LeaseState& aState)
 {
@@ -27,7 +28,8 @@
   ++aState.mSelf.mGeneration;
 }
 
-/// Reads again soon and decides nothing until then.
+/// Schedules a read soon. Until then no session is created or ended and no
+/// shard is taken or handed over.
 void
 RequireRead(LeaseState& aState, MonotonicTime aNow)
 {
@@ -36,8 +38,10 @@
     aState.mNextRead, aNow + std::min(RenewInterval(aState) / 4, Millis(250)));
 }
 
-/// Adopts the version of the own session row, which a write of unknown effect
-/// may have changed, or notices that the session was ended.
+/// Adopts the version of the own session row, which a write whose result is not
+/// known may have changed. If the row is absent or is not that of the own
+/// session, the session was ended.
+/// @param aRow the row with the name of this process, or null if it is absent
 void
 AdoptOwnSession(LeaseState& aState,
                 const LeaseRow<SessionRecord>* aRow,
@@ -58,6 +62,7 @@
   }
 }
 
+/// Applies the result of a renewal.
 void
 ReportRenewal(LeaseState& aState,
               const LeaseWriteResult& aResult,
@@ -101,6 +106,7 @@
   }
 }
 
+/// Records that this process owns a shard.
 void
 HoldShard(LeaseState& aState,
           const std::string& aShard,
@@ -116,6 +122,7 @@
     aShard, HeldShard{ aRecord.mEpoch, aRecord.mAcquisition, aNow });
 }
 
+/// Records that this process does not own a shard.
 void
 DropShard(LeaseState& aState, const std::string& aShard)
 {
@@ -123,7 +130,7 @@
   aState.mStoppingShards.erase(aShard);
 }
 
-/// Takes the committed rows into the state, as if they had been read.
+/// Applies the shard rows of a committed transaction, as if they had been read.
 void
 ApplyCommitted(LeaseState& aState,
                const WriteLeaseRows& aAction,
@@ -146,7 +153,8 @@
   }
 }
 
-/// A hand-over that was surely not written can be sent again.
+/// Allows the hand-overs of a transaction to be sent again, because certainly
+/// none of it was written.
 void
 ClearSentVersions(LeaseState& aState, const WriteLeaseRows& aAction)
 {
@@ -162,7 +170,10 @@
   }
 }
 
-/// @return the session, watched from now on unless its row is unchanged
+/// @return the session of a row that was read now. The times of the earlier
+///         read are kept if the row has not changed.
+/// @param aBefore the session of the earlier read, or null
+/// @param aGap whether this process could not read for longer than a term
 SeenSession
 WatchSession(const SeenSession* aBefore,
              const LeaseRow<SessionRecord>& aRow,
@@ -208,7 +219,8 @@
   AdoptOwnSession(aState, own, aNow);
 }
 
-/// Resumes hand-overs that can't take effect any more.
+/// Allows the hand-over of a shard to be sent again if the one that was sent
+/// can no longer be committed.
 void
 SettleHandOver(LeaseState& aState, const std::string& aShard)
 {
@@ -237,8 +249,8 @@
   }
 }
 
-/// @return whether a hand-over may still take effect, about which the revision
-///         of the shards says nothing yet
+/// @return whether a sent hand-over may still be committed. The shards must
+///         then be scanned even if their revision has not changed.
 bool
 HasUnsettledHandOver(const LeaseState& aState)
 {
@@ -247,12 +259,13 @@
   });
 }
 
-/// Takes a complete read into the state.
+/// Applies a complete read to the state.
 void
 ApplyRead(LeaseState& aState, MonotonicTime aNow)
 {
   const LeaseRows rows = std::exchange(aState.mPartialRead, {});
-  // Sessions first: they decide which session is the own one.
+  // Sessions are applied first, because they determine whether this process
+  // still has its session, which the shard rows are compared with.
   ApplySessions(aState, rows.mSessions, aNow);
   aState.mReleases.clear();
   for (const LeaseRow<ReleaseRecord>& row : rows.mReleases) {
@@ -355,8 +368,8 @@
               MonotonicTime aSent,
               MonotonicTime aNow)
 {
-  // Once the session has lapsed the successor may have ended it, and a
-  // successor that has restarted since would not know.
+  // Once the lease has lapsed, the successor may have ended the session. If the
+  // successor has restarted since, it promises without knowing that.
   if (!aGranted || !SessionHolds(aState, aNow)) {
     return;
   }
--- a/Libraries/LibLeaseCore/LeaseWrites.cpp
+++ b/Libraries/LibLeaseCore/LeaseWrites.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// Renewals of all processes together stay below this share of the several
-/// hundred writes/s that the table service sustains.
+/// The renewals of all processes together stay below this rate, which is a part
+/// of the several hundred writes per second that the table service sustains.
 constexpr std::int64_t kMaxRenewalsPerSecond = 100;
 
-/// Bounds the size of one transaction.
+/// Bound on the size of one transaction.
 constexpr std::size_t kMaxShardsPerTransaction = 32;
 
 std::string
@@ -25,8 +25,8 @@
   return kSessionPrefix + aMember.mName;
 }
 
-/// Adds the own session's condition: a process that has lost its session
-/// can't change a shard.
+/// Adds the condition that the own session row has not changed, so that a
+/// process that has lost its session can't change a shard.
 void
 RequireOwnSession(const LeaseState& aState, WriteLeaseRows& aAction)
 {
@@ -46,18 +46,22 @@
   aAction.mWrites.push_back({ key, std::move(aRecord) });
 }
 
+/// Adds the write that tells other processes that shard rows have changed.
 void
 TouchShardRevision(WriteLeaseRows& aAction)
 {
   aAction.mWrites.push_back({ kShardRevisionKey, RowTouch{} });
 }
 
+/// @return the number of shards in a transaction that writes nothing else so
+///         far
 std::size_t
 ShardsInTransaction(const WriteLeaseRows& aAction)
 {
   return aAction.mWrites.size();
 }
 
+/// @return the successor that the next renewal names, or null for none
 const LeaseMember*
 PreferredSuccessor(const LeaseState& aState)
 {
@@ -67,8 +71,8 @@
   return ChooseSuccessor(aState.mSelf, StayingPeers(aState));
 }
 
-/// @return whether the session belongs to an earlier life of this process,
-///         which surely uses it no more
+/// @return whether the session is an earlier one of this process since its
+///         start, which it certainly no longer uses
 bool
 IsOwnEarlierSession(const LeaseState& aState, const LeaseMember& aMember)
 {
@@ -77,6 +81,7 @@
          aMember.mGeneration < aState.mSelf.mGeneration;
 }
 
+/// @return whether an operator has stated that the host of a member is gone
 bool
 IsReleased(const LeaseState& aState, const LeaseMember& aMember)
 {
@@ -85,6 +90,7 @@
          release->second.mRecord.mIncarnation == aMember.mIncarnation;
 }
 
+/// @return whether a promise of this process to a member holds
 bool
 HasGrantedPromise(const LeaseState& aState,
                   const std::string& aMember,
@@ -94,6 +100,7 @@
   return granted != aState.mGrantedUntil.end() && aNow < granted->second;
 }
 
+/// @return whether this process may end a session now
 bool
 MayEndSession(const LeaseState& aState,
               const SeenSession& aSession,
@@ -113,15 +120,17 @@
     return false;
   }
   if (record.mSuccessor == aState.mSelf.mName) {
-    // An earlier life of this process may have promised something.
+    // Before its last restart this process may have made a promise, which would
+    // have ended by then.
     return aNow >= aState.mStartedAt + wait;
   }
   return record.mSuccessor.empty() || IsReleased(aState, record.mMember) ||
          aNow >= aSession.mUnchangedSince + record.mForeignTakeoverWait;
 }
 
-/// Adds the shards of the ended session, if this process is its successor and
-/// holds copies of what belongs to them.
+/// Adds the acquisition of the shards of the ended session if this process is
+/// its successor. The incarnation must match too, because a restarted process
+/// no longer has the copies of the shards' data.
 void
 AddShardsOfEndedSession(const LeaseState& aState,
                         const SessionRecord& aEnded,
@@ -145,6 +154,7 @@
   TouchShardRevision(aAction);
 }
 
+/// @return whether this session of a member exists as of the last read
 bool
 HasSession(const LeaseState& aState, const LeaseMember& aMember)
 {
@@ -191,7 +201,7 @@
 
   aState.mSuccessorsBeforeSend = aState.mPossibleSuccessors;
   aState.mPossibleSuccessors[successor.mName] = successor;
-  // A shorter term counts from the moment at which the row may hold it.
+  // A shorter term applies from the time at which the row may contain it.
   aState.mValidUntil =
     std::min(aState.mValidUntil, aNow + HolderTerm(record.mTerm));
   aState.mSentRenewal = record;
@@ -201,7 +211,7 @@
   RequireOwnSession(aState, action);
   action.mWrites.push_back({ SessionKey(aState.mSelf), std::move(record) });
   if (aState.mSessionVersion == 0) {
-    // A release concerned an earlier process of this name.
+    // A release row was meant for an earlier process with this name.
     action.mWrites.push_back(
       { kReleasePrefix + aState.mSelf.mName, RowDeletion{} });
   }
@@ -236,8 +246,8 @@
 MakeAcquisition(const LeaseState& aState, MonotonicTime aNow)
 {
   const std::vector<const LeaseMember*> candidates = OwnerCandidates(aState);
-  // Processes that start together see each other before the first owners are
-  // chosen, which saves hand-overs.
+  // Processes that start at the same time see each other before the first
+  // owners are chosen, which avoids hand-overs.
   const bool settled =
     aNow >= aState.mSessionSince + aState.mTimes.mRenewInterval;
   WriteLeaseRows action;
--- a/Libraries/LibLeaseCore/LeaseWrites.h
+++ b/Libraries/LibLeaseCore/LeaseWrites.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Builds the transactions of the lease decisions; not for their users.
+// Functions that build the transactions of the lease decisions. Other libraries
+// must not include this file.
 
 #include <optional>
 
@@ -9,29 +10,33 @@
 
 namespace paddle {
 
-/// @return interval between renewals; it widens with the number of writers
+/// @return the interval between renewals; it grows with the number of
+///         processes, to limit the load on the table service
 Millis
 RenewInterval(const LeaseState& aState);
 
-/// @return term of the own session; it widens with the interval
+/// @return the term of the own session; it grows with the interval
 Millis
 SessionTerm(const LeaseState& aState);
 
-/// Creates or renews the own session. From here on the row may name the new
-/// successor and the new term.
+/// @return a transaction that creates or renews the own session. The state
+///         changes too: from now on the row may contain the new successor and
+///         the new term.
 WriteLeaseRows
 MakeRenewal(LeaseState& aState, MonotonicTime aNow);
 
-/// @return a transaction that ends another session, if this process may
+/// @return a transaction that ends another session, or nothing if there is none
+///         that this process may end
 std::optional<WriteLeaseRows>
 MakeSessionEnd(const LeaseState& aState, MonotonicTime aNow);
 
-/// @return a transaction that takes the shards that have no live owner and
-///         for which this process comes first, if there are any
+/// @return a transaction that takes the shards without a live owner for which
+///         this process is the best owner, or nothing if there are none
 std::optional<WriteLeaseRows>
 MakeAcquisition(const LeaseState& aState, MonotonicTime aNow);
 
-/// @return a transaction that hands over stopped shards, if there are any
+/// @return a transaction that hands over the shards whose work has stopped, or
+///         nothing if there are none
 std::optional<WriteLeaseRows>
 MakeHandOver(const LeaseState& aState);
 
--- a/Libraries/LibLeaseCore/Rendezvous.cpp
+++ b/Libraries/LibLeaseCore/Rendezvous.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// @return the candidate with the lowest rank and then the highest score
+/// @return the candidate with the lowest rank and, among those, the highest
+///         score
 template<typename Rank>
 const LeaseMember*
 ChooseBest(std::string_view aKey,
--- a/Libraries/LibRouting/KeyMemory.h
+++ b/Libraries/LibRouting/KeyMemory.h
@@ -124,8 +124,8 @@
 };
 
 /// Prepares the memory of a process that has become the owner of its shard:
-/// entries of requests that the predecessor had running become Unknown, and
-/// the completeness follows from how the shard was acquired.
+/// entries of requests that the predecessor had running become Unknown, and the
+/// completeness follows from how the shard was acquired.
 void
 AdoptKeys(KeyMemory& aMemory,
           Acquisition aAcquisition,
--- a/Libraries/LibRouting/Routing.cpp
+++ b/Libraries/LibRouting/Routing.cpp
@@ -63,7 +63,8 @@
   Explanation explanation;
   explanation.mKind = aKind;
   explanation.mRule = aRule;
-  explanation.mWaiting = static_cast<std::uint32_t>(service.mWaiting.size());
+  explanation.mWaitingRequests =
+    static_cast<std::uint32_t>(service.mWaitingQueue.size());
   explanation.mTries = aRequest.mTries;
   explanation.mTimeToDeadline =
     TimeBetween(aRequest.mRequest.mDeadline, aContext.mNow);
@@ -73,7 +74,7 @@
     // This scans all runners, so the common case leaves it out.
     explanation.mFreeSlots = FreeSlots(service).mSlots;
     explanation.mExpectedResponseTime =
-      ExpectedResponseTime(service, service.mWaiting.size());
+      ExpectedResponseTime(service, service.mWaitingQueue.size());
   }
   return explanation;
 }
@@ -215,12 +216,12 @@
   if (aRequest.mRequest.mKind == RouteKind::Watch) {
     return RoutingRule::WatchShare;
   }
-  if (service.mWaiting.size() >=
+  if (service.mWaitingQueue.size() >=
       aContext.mState.mSettings.mMaxWaitingRequests) {
     return RoutingRule::QueueFull;
   }
   const Micros left = TimeBetween(aRequest.mRequest.mDeadline, aContext.mNow);
-  if (ExpectedResponseTime(service, service.mWaiting.size() + 1) > left) {
+  if (ExpectedResponseTime(service, service.mWaitingQueue.size() + 1) > left) {
     return RoutingRule::DeadlineTooShort;
   }
   return std::nullopt;
@@ -243,9 +244,9 @@
     aRequest.mRequest.mNumber,
     MakeExplanation(
       aContext, aRequest, DecisionKind::Delay, RoutingRule::WaitsForSlot) });
-  aRequest.mWaiting = true;
+  aRequest.mIsWaiting = true;
   ServiceOf(aContext.mState, aRequest)
-    .mWaiting.push_back(aRequest.mRequest.mNumber);
+    .mWaitingQueue.push_back(aRequest.mRequest.mNumber);
 }
 
 /// Sends waiting requests to own runners or peers, oldest first, until there is
@@ -253,15 +254,15 @@
 void
 PlaceWaitingRequests(const DecisionContext& aContext, ServiceState& aService)
 {
-  while (!aService.mWaiting.empty()) {
+  while (!aService.mWaitingQueue.empty()) {
     PendingRequest& request =
-      aContext.mState.mPending.at(aService.mWaiting.front());
+      aContext.mState.mPending.at(aService.mWaitingQueue.front());
     if (!TrySendToOwnRunner(aContext, request) &&
         !TryForwardToPeer(aContext, request)) {
       return;
     }
-    request.mWaiting = false;
-    aService.mWaiting.pop_front();
+    request.mIsWaiting = false;
+    aService.mWaitingQueue.pop_front();
   }
 }
 
@@ -273,7 +274,7 @@
   std::vector<RequestNumber> late;
   const auto service =
     Micros(static_cast<Micros::rep>(aService.mMeanServiceUs));
-  std::erase_if(aService.mWaiting, [&](RequestNumber aNumber) {
+  std::erase_if(aService.mWaitingQueue, [&](RequestNumber aNumber) {
     const PendingRequest& request = aContext.mState.mPending.at(aNumber);
     if (aContext.mNow + service <= request.mRequest.mDeadline) {
       return false;
@@ -353,8 +354,7 @@
 }
 
 /// @return the time by which the runner of the current try has certainly
-/// stopped
-///         working on the request
+///         stopped working on the request
 MonotonicTime
 LatestPossibleEnd(const RoutingState& aState, const PendingRequest& aRequest)
 {
--- a/Libraries/LibRouting/RoutingActions.h
+++ b/Libraries/LibRouting/RoutingActions.h
@@ -60,10 +60,10 @@
   DecisionKind mKind = DecisionKind::Serve;
   RoutingRule mRule = RoutingRule::FreeSlot;
   std::uint32_t mFreeSlots = 0; ///< Free slots at the runners of this process.
-  std::uint32_t mWaiting = 0;   ///< Requests in the queue.
-  std::uint32_t mTries = 0;     ///< Tries of this request so far.
-  Micros mExpectedResponseTime{ 0 }; ///< Expected time of waiting and service.
-  Micros mTimeToDeadline{ 0 };       ///< Negative after the deadline.
+  std::uint32_t mWaitingRequests = 0; ///< Requests in the queue.
+  std::uint32_t mTries = 0;           ///< Tries of this request so far.
+  Micros mExpectedResponseTime{ 0 };  ///< Expected time of waiting and service.
+  Micros mTimeToDeadline{ 0 };        ///< Negative after the deadline.
 };
 
 /// Action: record the explanation of a decision about a request.
--- a/Libraries/LibRouting/RoutingPolicy.h
+++ b/Libraries/LibRouting/RoutingPolicy.h
@@ -42,8 +42,7 @@
 };
 
 /// @return whether the runner at @p aIndex may be chosen: it has a free slot
-/// and
-///         has not failed this request
+///         and has not failed this request
 inline bool
 IsCandidate(const RunnerQuery& aQuery, std::size_t aIndex)
 {
--- a/Libraries/LibRouting/RoutingState.h
+++ b/Libraries/LibRouting/RoutingState.h
@@ -34,11 +34,11 @@
 {
   std::string mName;
   ServiceLimits mLimits;
-  std::vector<RunnerLoad> mLoads;     ///< Has the same indices as mRunners.
-  std::vector<Runner> mRunners;       ///< Entries are reused but never moved.
-  std::deque<RequestNumber> mWaiting; ///< The queue, oldest request first.
-  double mMeanServiceUs = 0;          ///< Decayed mean of short requests.
-  std::uint64_t mQueryNumber = 0;     ///< Number of queries to the policy.
+  std::vector<RunnerLoad> mLoads; ///< Has the same indices as mRunners.
+  std::vector<Runner> mRunners;   ///< Entries are reused but never moved.
+  std::deque<RequestNumber> mWaitingQueue; ///< Oldest request first.
+  double mMeanServiceUs = 0;               ///< Decayed mean of short requests.
+  std::uint64_t mQueryNumber = 0;          ///< Number of queries to the policy.
 };
 
 /// What this process knows about a shard of runners.
@@ -79,7 +79,7 @@
   std::uint32_t mTries = 0;
   bool mMayHaveRun = false; ///< An earlier try ended with an unknown result.
   bool mForwarded = false;  ///< The request was forwarded to a peer.
-  bool mWaiting = false;    ///< The request is in the queue of its service.
+  bool mIsWaiting = false;  ///< The request is in the queue of its service.
   bool mHasRunner = false;  ///< The current try has a slot of a runner.
   RunnerRef mRunner;        ///< The runner of the current try.
   MonotonicTime mTryStarted{};
@@ -111,9 +111,9 @@
 FreeSlots(const ServiceState& aService);
 
 /// @return whether no short request of this process or of a previous owner can
-///         be in flight at the shard's runners, so that the shard can be
-///         handed over. Watches may go on: the next owner counts their slots
-///         as in use until they have ended.
+///         be in flight at the shard's runners, so that the shard can be handed
+///         over. Watches may go on: the next owner counts their slots as in use
+///         until they have ended.
 bool
 IsQuiescent(const RoutingState& aState,
             std::string_view aShard,
--- a/Libraries/LibRouting/RunnerTable.cpp
+++ b/Libraries/LibRouting/RunnerTable.cpp
@@ -32,8 +32,7 @@
 }
 
 /// @return the slots that may be used now at a runner: none if it is not
-/// usable,
-///         else those of its shard
+///         usable, else those of its shard
 ShardAllowance
 AllowanceOf(const RoutingState& aState,
             const ServiceState& aService,
--- a/Tests/LibLease/LeaseSimulation.cpp
+++ b/Tests/LibLease/LeaseSimulation.cpp
@@ -13,7 +13,7 @@
 constexpr VirtualTime kStoreTimeout = Millis(1000);
 constexpr VirtualTime kPromiseTimeout = Millis(500);
 
-/// A late write arrives at most this long after it was sent.
+/// Longest time from the sending of a late write until it arrives.
 constexpr std::uint64_t kMaxLateArrivalMs = 20000;
 
 } // namespace
@@ -45,7 +45,8 @@
   Process& process = mProcesses.at(aName);
   process.mAlive = true;
   ++process.mStartCount;
-  // Rates differ by up to 2% each way; quartz clocks differ by far less.
+  // Clock rates deviate by up to 2% in both directions; quartz clocks deviate
+  // far less.
   process.mRate = 0.98 + 0.0001 * static_cast<double>(Random(401));
   process.mOffset = Seconds(Random(100000));
   process.mPausedUntil = mNow;
@@ -136,7 +137,7 @@
 }
 
 bool
-LeaseSimulation::Alive(const std::string& aName) const
+LeaseSimulation::IsAlive(const std::string& aName) const
 {
   return mProcesses.at(aName).mAlive;
 }
@@ -169,7 +170,7 @@
 }
 
 int
-LeaseSimulation::Owned() const
+LeaseSimulation::TotalOwned() const
 {
   int owned = 0;
   for (const auto& [name, process] : mProcesses) {
@@ -179,7 +180,7 @@
 }
 
 std::optional<HeldShard>
-LeaseSimulation::Held(const std::string& aShard) const
+LeaseSimulation::HeldShardOf(const std::string& aShard) const
 {
   const std::vector<std::string> owners = OwnersOf(aShard);
   if (owners.empty()) {
@@ -216,8 +217,7 @@
   return mStoreCallTime ? *mStoreCallTime / 2 : NetworkDelay();
 }
 
-/// @return the time until a failed call returns, after it has reached the
-///         store
+/// @return the time until a failed call returns, after it has reached the store
 VirtualTime
 LeaseSimulation::FailureDelay()
 {
@@ -263,7 +263,7 @@
     RunNextActionAfterTick(aName);
     return;
   }
-  // A pause may fall between the decision and the moment of sending.
+  // The delay lets a pause begin between the decision and the sending.
   RunInProcess(aName, mNow + VirtualTime(50), [this, aName, action = *action] {
     Send(aName, action);
   });
@@ -370,7 +370,7 @@
                              const AskPromise& aAction)
 {
   const MonotonicTime sent = LocalTime(mProcesses.at(aName));
-  // Whichever comes first, the answer or the time-out, ends the call.
+  // The call ends with the answer or the time-out, whichever comes first.
   const auto ended = std::make_shared<bool>(false);
   const auto end = [this, aName, aAction, sent, ended](bool aGranted) {
     if (std::exchange(*ended, true)) {
@@ -415,7 +415,7 @@
     return;
   }
   std::uint64_t& last = mHighestEpochs[aShard];
-  const std::uint64_t epoch = Held(aShard)->mEpoch;
+  const std::uint64_t epoch = HeldShardOf(aShard)->mEpoch;
   if (epoch < last) {
     mViolation = "epoch " + std::to_string(epoch) + " after " +
                  std::to_string(last) + where;
--- a/Tests/LibLease/TestLeaseCore.cpp
+++ b/Tests/LibLease/TestLeaseCore.cpp
@@ -22,7 +22,7 @@
   return { aName, aName + ".1", "gateway", aDataCentre, "r", aName, 1 };
 }
 
-/// Carries out everything that is due, without any delay.
+/// Carries out all actions that are due, without any delay.
 void
 RunDueActions(LeaseState& aState, MemoryTable& aTable, MonotonicTime aNow)
 {
@@ -74,9 +74,9 @@
   CHECK_TRUE(held->mAcquisition == ShardAcquisition::Takeover);
 }
 
-// Guards against a lease that counts from the answer instead of from the
-// moment at which the renewal was sent.
-TEST(LeaseCore, LeaseCountsFromSending)
+// Guards against a lease that counts from the answer instead of from the moment
+// at which the renewal was sent.
+TEST(LeaseCore, LeaseCountsFromTheSendingOfTheRenewal)
 {
   const MonotonicTime sent = kStart + Millis(5000);
   const auto action = NextAction(mState, sent);
@@ -90,7 +90,7 @@
 }
 
 // Guards against renewals that overload the table service when there are many
-// processes; the term must widen with the interval.
+// processes. The term must grow with the interval.
 TEST(LeaseCore, IntervalAndTermWidenWithWriters)
 {
   for (int i = 0; i < 300; ++i) {
@@ -120,7 +120,7 @@
   }
 };
 
-// Guards against shards that move although their owner is still there.
+// Guards against shards that move although their owner is still live.
 TEST(Rendezvous, LossOfMemberMovesOnlyItsShards)
 {
   const std::vector<const LeaseMember*> without(mCandidates.begin() + 1,
--- a/Tests/LibLease/TestLeaseKeeper.cpp
+++ b/Tests/LibLease/TestLeaseKeeper.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-/// Short times, so that the tests take seconds; no check depends on how long
-/// a step takes, only on what happens in the end.
+/// The times are short, so that the tests take seconds. No check depends on how
+/// long a step takes, but only on the final result.
 constexpr LeaseSettings kSettings{ .mTerm = Millis(600),
                                    .mRenewInterval = Millis(200),
                                    .mForeignTakeoverWait = Millis(60000) };
 
-/// Longest time a test waits for something that must happen.
+/// Longest time that a test waits for a condition that must become true.
 constexpr Seconds kMaxWait{ 30 };
 
 bool
@@ -86,7 +86,7 @@
     return owned;
   }
 
-  int Owned()
+  int TotalOwned()
   {
     int owned = 0;
     for (const auto& [name, keeper] : mKeepers) {
@@ -97,11 +97,11 @@
 
   bool AllOwned()
   {
-    return WaitUntil([this] { return Owned() == 16; });
+    return WaitUntil([this] { return TotalOwned() == 16; });
   }
 };
 
-// Guards against shards without an owner in the ordinary case.
+// Guards against shards without an owner when no process fails.
 TEST(LeaseKeeper, AssignsAllShards)
 {
   Start("a", "dc-1");
@@ -116,7 +116,7 @@
 }
 
 // Guards against shards that stay with a process that died, and against a
-// successor that does not know that it is one.
+// successor that takes over without the knowledge that it is the successor.
 TEST(LeaseKeeper, SuccessorTakesOverAfterDeath)
 {
   Start("a", "dc-1");
@@ -133,8 +133,8 @@
   CHECK_TRUE(ownership->mEpoch > 1);
 }
 
-// Guards against an orderly stop after which the shards stay without an owner
-// until a term has passed.
+// Guards against an orderly stop after which the shards have no owner until a
+// term has passed.
 TEST(LeaseKeeper, LeaveHandsOverAllShards)
 {
   Start("a", "dc-1");
@@ -163,27 +163,28 @@
   bool complete = false;
   std::thread leaver([&] { complete = mKeepers["a"]->Leave(kMaxWait); });
   CHECK_TRUE(WaitUntil([&] { return asked.load(); }));
-  LONGS_EQUAL(0, Owned());
+  LONGS_EQUAL(0, TotalOwned());
   quiescent = true;
   leaver.join();
   CHECK_TRUE(complete);
   CHECK_TRUE(AllOwned());
 }
 
-// Guards against an owner that goes on without a lease when the store is down
-// and its successor does not answer.
+// Guards against an owner that continues without a lease when the store is
+// unavailable and no successor gives a promise.
 TEST(LeaseKeeper, OwnsNothingAfterLapseWithoutPromise)
 {
   Start("a", "dc-1");
   CHECK_TRUE(AllOwned());
   mFaults.SetOutage(true);
-  CHECK_TRUE(WaitUntil([this] { return Owned() == 0; }));
+  CHECK_TRUE(WaitUntil([this] { return TotalOwned() == 0; }));
   CHECK_FALSE(mKeepers["a"]->SessionValid());
   mFaults.SetOutage(false);
   CHECK_TRUE(AllOwned());
 }
 
-// Guards against an outage of the store that stops all service.
+// Guards against an outage of the store that ends all ownership, although the
+// successor promises not to end the session.
 TEST(LeaseKeeper, KeepsShardsInOutageByPromises)
 {
   Start("a", "dc-1");
--- a/Tests/LibLease/TestLeaseScenarios.cpp
+++ b/Tests/LibLease/TestLeaseScenarios.cpp
@@ -30,7 +30,7 @@
   aSimulation.SetOutage(aOutage);
   for (int i = 0; i < 600; ++i) {
     aSimulation.RunFor(Millis(100));
-    LONGS_EQUAL(6, aSimulation.Owned());
+    LONGS_EQUAL(6, aSimulation.TotalOwned());
   }
   CheckNoViolation(aSimulation);
 }
@@ -59,7 +59,7 @@
     mSimulation.Start("c", "dc-2");
     mSimulation.Start("d", "dc-2");
     mSimulation.RunFor(Seconds(20));
-    LONGS_EQUAL(6, mSimulation.Owned());
+    LONGS_EQUAL(6, mSimulation.TotalOwned());
     const std::string successor =
       mSimulation.StateOf("a").mConfirmedRenewal.mSuccessor;
     mSimulation.Kill("a");
@@ -68,8 +68,8 @@
   }
 };
 
-// Guards against a holder that was frozen beyond its lease and goes on as
-// owner when it resumes.
+// Guards against a session holder that was frozen until after the end of its
+// lease and continues as owner when it resumes.
 TEST(LeaseScenarios, FrozenHolderResumesAndOwnsNothing)
 {
   StartTwo();
@@ -83,26 +83,26 @@
   CheckNoViolation(mSimulation);
 }
 
-// Guards against an outage of the store that stops all service: the promise
-// of the successor keeps the owner for ten minutes, with the same epoch.
+// Guards against an outage of the store that ends all ownership. The promise of
+// the successor must keep the owner for ten minutes, with the same epoch.
 TEST(LeaseScenarios, OwnerIsKeptThroughTenMinutesOfOutage)
 {
   StartTwo();
-  const std::uint64_t epoch = mSimulation.Held("s0")->mEpoch;
+  const std::uint64_t epoch = mSimulation.HeldShardOf("s0")->mEpoch;
   mSimulation.SetOutage(true);
   for (int i = 0; i < 600; ++i) {
     mSimulation.RunFor(Seconds(1));
-    LONGS_EQUAL(6, mSimulation.Owned());
+    LONGS_EQUAL(6, mSimulation.TotalOwned());
   }
   mSimulation.SetOutage(false);
   mSimulation.RunFor(Seconds(10));
-  LONGS_EQUAL(6, mSimulation.Owned());
-  CHECK_EQUAL(epoch, mSimulation.Held("s0")->mEpoch);
+  LONGS_EQUAL(6, mSimulation.TotalOwned());
+  CHECK_EQUAL(epoch, mSimulation.HeldShardOf("s0")->mEpoch);
   CheckNoViolation(mSimulation);
 }
 
-// Guards against a table service that is slow, but works, and makes sessions
-// lapse because calls wait for each other.
+// Guards against sessions that lapse because the table service is slow and
+// calls wait for each other.
 TEST(LeaseScenarios, SlowStoreInterruptsNoOwner)
 {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -111,8 +111,8 @@
   }
 }
 
-// Guards against an outage in which each call takes its whole time-out, so
-// that the promise is asked for too late.
+// Guards against a promise that is requested too late, because each call takes
+// its whole time-out during an outage.
 TEST(LeaseScenarios, SilentStoreInterruptsNoOwner)
 {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -121,49 +121,50 @@
   }
 }
 
-// Guards against an owner that outlives the wait of all other processes.
+// Guards against an owner that continues after the time at which all other
+// processes may take over.
 TEST(LeaseScenarios, OwnerStopsBeforeOthersMayTakeOver)
 {
   StartTwo();
   mSimulation.SetOutage(true);
   mSimulation.RunFor(kTimes.mForeignTakeoverWait);
-  LONGS_EQUAL(0, mSimulation.Owned());
+  LONGS_EQUAL(0, mSimulation.TotalOwned());
   CheckNoViolation(mSimulation);
 }
 
-// Guards against an owner without a lease or a promise: the successor is lost
-// during the outage, too.
+// Guards against an owner that continues without a lease or a promise because
+// its successor died during the outage.
 TEST(LeaseScenarios, OwnerStopsWhenSuccessorDiesInOutage)
 {
   StartTwo();
   mSimulation.SetOutage(true);
   mSimulation.RunFor(Seconds(30));
-  LONGS_EQUAL(6, mSimulation.Owned());
+  LONGS_EQUAL(6, mSimulation.TotalOwned());
   mSimulation.Kill("c");
   mSimulation.RunFor(Seconds(5));
-  LONGS_EQUAL(0, mSimulation.Owned());
+  LONGS_EQUAL(0, mSimulation.TotalOwned());
   mSimulation.SetOutage(false);
   mSimulation.RunFor(Seconds(10));
   LONGS_EQUAL(6, mSimulation.OwnedBy("a"));
   CheckNoViolation(mSimulation);
 }
 
-// Guards against a takeover by a process that has promised nothing, while the
-// owner may go on with a promise that nobody else knows of.
-TEST(LeaseScenarios, ForeignTakerWaits)
+// Guards against a takeover by a process that is not the successor while the
+// owner may continue by a promise that this process does not know of.
+TEST(LeaseScenarios, ProcessThatIsNotTheSuccessorWaits)
 {
   const std::string survivor = KillOwnerAndSuccessor();
   mSimulation.RunFor(kTimes.mForeignTakeoverWait - Seconds(30));
   CHECK_TRUE(mSimulation.OwnedBy(survivor) < 6);
   mSimulation.RunFor(Seconds(60));
   LONGS_EQUAL(6, mSimulation.OwnedBy(survivor));
-  CHECK_TRUE(mSimulation.Held("s0")->mAcquisition ==
+  CHECK_TRUE(mSimulation.HeldShardOf("s0")->mAcquisition ==
              ShardAcquisition::Takeover);
   CheckNoViolation(mSimulation);
 }
 
-// Guards against an operator who knows that the hosts are gone and has to
-// wait all the same.
+// Guards against a takeover that waits although an operator has stated that the
+// host of the owner is gone.
 TEST(LeaseScenarios, ReleaseEndsTheWait)
 {
   const std::string survivor = KillOwnerAndSuccessor();
@@ -176,8 +177,8 @@
   CheckNoViolation(mSimulation);
 }
 
-// Guards against a successor that has forgotten its promise by restarting
-// and takes over while the owner still relies on it.
+// Guards against a successor that has lost its promise in a restart and takes
+// over while the owner still relies on the promise.
 TEST(LeaseScenarios, RestartedSuccessorWaits)
 {
   StartTwo();
@@ -194,8 +195,9 @@
   CheckNoViolation(mSimulation);
 }
 
-// Guards against an owner that lapsed and believes a late promise: its
-// successor has ended the session, has restarted, and knows nothing of it.
+// Guards against an owner whose lease has lapsed and that relies on a late
+// promise: its successor has ended the session and restarted since, and
+// promises without knowing that.
 TEST(LeaseScenarios, LapsedOwnerDoesNotReturnByLatePromise)
 {
   StartTwo();
@@ -213,8 +215,8 @@
   CheckNoViolation(mSimulation);
 }
 
-// Guards against a wait of minutes after all processes were killed and
-// started again.
+// Guards against a wait of minutes after all processes were killed and started
+// again.
 TEST(LeaseScenarios, RestartOfAllProcessesRecoversInSeconds)
 {
   StartTwo();
@@ -223,12 +225,12 @@
   mSimulation.Restart("a");
   mSimulation.Restart("c");
   mSimulation.RunFor(Seconds(15));
-  LONGS_EQUAL(6, mSimulation.Owned());
+  LONGS_EQUAL(6, mSimulation.TotalOwned());
   CheckNoViolation(mSimulation);
 }
 
-// Guards against shards that stay far away although an owner in their data
-// centre has appeared.
+// Guards against shards that stay with an owner in another data centre after a
+// process in their own data centre has started.
 TEST(LeaseScenarios, ShardsMoveToBetterOwnerByHandOver)
 {
   mSimulation.Start("a", "dc-1");
@@ -237,15 +239,16 @@
   mSimulation.Start("c", "dc-2");
   mSimulation.RunFor(Seconds(20));
   LONGS_EQUAL(3, mSimulation.OwnedBy("c"));
-  CHECK_TRUE(mSimulation.Held("s1")->mAcquisition ==
+  CHECK_TRUE(mSimulation.HeldShardOf("s1")->mAcquisition ==
              ShardAcquisition::HandOver);
-  CHECK_TRUE(mSimulation.Held("s0")->mAcquisition ==
+  CHECK_TRUE(mSimulation.HeldShardOf("s0")->mAcquisition ==
              ShardAcquisition::FirstOwner);
   CheckNoViolation(mSimulation);
 }
 
-// Guards against a new owner that does not find its predecessor, from which it
-// fetches what belongs to the shard, because the session ended at once.
+// Guards against a new owner that can't find its predecessor, from which it
+// fetches the data of the shard, because the predecessor's session ended at
+// once.
 TEST(LeaseScenarios, NewOwnerSeesSessionOfLeavingPredecessor)
 {
   StartTwo();
@@ -260,8 +263,8 @@
   CheckNoViolation(mSimulation);
 }
 
-// Guards against a load on the table service that grows beyond one write per
-// process and second, or scans of everything at each step.
+// Guards against more than about one write per process and second to the table
+// service, and against full scans at each step.
 TEST(LeaseScenarios, SixteenProcessesWriteAboutSixteenTimesPerSecond)
 {
   for (int i = 0; i < 16; ++i) {
@@ -273,5 +276,5 @@
   const TableCounters after = mSimulation.Counters();
   CHECK_COMPARE(after.mWrites - before.mWrites, <=, std::uint64_t(60) * 17);
   CHECK_COMPARE(after.mReads - before.mReads, <=, std::uint64_t(60) * 34);
-  LONGS_EQUAL(6, mSimulation.Owned());
+  LONGS_EQUAL(6, mSimulation.TotalOwned());
 }
--- a/Tests/LibLease/TestLeaseSchedules.cpp
+++ b/Tests/LibLease/TestLeaseSchedules.cpp
@@ -11,7 +11,8 @@
 constexpr std::uint64_t kSeeds = 200;
 const std::string kNames[] = { "a", "b", "c", "d", "e" };
 
-/// Shorter than in operation, so that a schedule sees the wait end.
+/// The takeover wait is shorter than in operation, so that it ends during a
+/// schedule.
 constexpr LeaseTimes kTimes{ Millis(3000), Millis(1000), Millis(30000) };
 
 void
@@ -24,7 +25,7 @@
   aSimulation.Start("e", "dc-3", "r2");
 }
 
-/// Changes one random condition of the simulation.
+/// Starts or ends one random fault.
 void
 InjectRandomFault(LeaseSimulation& aSimulation)
 {
@@ -40,18 +41,18 @@
       return;
     case 3:
     case 4:
-      if (aSimulation.Alive(name)) {
+      if (aSimulation.IsAlive(name)) {
         aSimulation.Pause(name, Millis(aSimulation.Random(20000)));
       }
       return;
     case 5:
-      if (aSimulation.Alive(name)) {
+      if (aSimulation.IsAlive(name)) {
         aSimulation.Kill(name);
       }
       return;
     case 6:
     case 7:
-      if (!aSimulation.Alive(name)) {
+      if (!aSimulation.IsAlive(name)) {
         aSimulation.Restart(name);
       }
       return;
@@ -66,7 +67,7 @@
                                  aSimulation.Random(100));
       return;
     default:
-      // A quiet moment, in which sessions start and shards move.
+      // Nothing fails for a time, so that sessions start and shards move.
       aSimulation.RunFor(Millis(aSimulation.Random(10000)));
   }
 }
@@ -83,7 +84,7 @@
     for (const std::string& other : kNames) {
       aSimulation.PartitionPeers(name, other, false);
     }
-    if (!aSimulation.Alive(name)) {
+    if (!aSimulation.IsAlive(name)) {
       aSimulation.Restart(name);
     }
   }
@@ -93,9 +94,9 @@
 
 TEST_GROUP(LeaseSchedules){};
 
-// Guards against two valid owners of a shard at one moment, epochs that go
-// back, and shards that stay without an owner for good, under pauses, cuts,
-// lost and late writes, outages and restarts in any order.
+// Guards against two valid owners of a shard at the same time, epochs that
+// decrease, and shards that never get an owner again, under pauses, partitions,
+// lost answers, late writes, outages and restarts in random order.
 TEST(LeaseSchedules, NeverTwoOwnersAndAllOwnedAfterwards)
 {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -110,6 +111,6 @@
     const std::string seedText = "seed " + std::to_string(seed) + ": ";
     STRCMP_EQUAL((seedText).c_str(),
                  (seedText + simulation.Violation()).c_str());
-    LONGS_EQUAL_TEXT(6, simulation.Owned(), seedText.c_str());
+    LONGS_EQUAL_TEXT(6, simulation.TotalOwned(), seedText.c_str());
   }
 }
--- a/Tests/LibRouting/RoutingFixture.h
+++ b/Tests/LibRouting/RoutingFixture.h
@@ -18,17 +18,17 @@
   RoutingState mState;
   RoutingActions mActions;
   MonotonicTime mNow{ Seconds(1000) };
-  RequestNumber mLast = 0;
+  RequestNumber mLastNumber = 0;
 
   explicit RoutingFixture(std::size_t aRunners = 1,
                           std::string_view aPolicy = "least-outstanding")
   {
     mState.mPolicy = ValueOf(Registry<RoutingPolicy>::Instance().Find(aPolicy));
-    Event(Listed(aRunners));
-    Event(ShardAcquired{ "s", { 1, Acquisition::FirstOwner, mNow } });
+    ApplyEvent(MakeService(aRunners));
+    ApplyEvent(ShardAcquired{ "s", { 1, Acquisition::FirstOwner, mNow } });
   }
 
-  static ServiceListed Listed(std::size_t aRunners)
+  static ServiceListed MakeService(std::size_t aRunners)
   {
     ServiceListed listed{ "desk", {}, {} };
     for (std::size_t i = 0; i < aRunners; ++i) {
@@ -40,7 +40,7 @@
 
   /// Applies an event; mActions then holds only the actions of this event.
   template<typename E>
-  void Event(const E& aEvent)
+  void ApplyEvent(const E& aEvent)
   {
     mActions.clear();
     Apply(mState, aEvent, mNow, mActions);
@@ -53,17 +53,17 @@
                        Millis aDeadline = Millis(2000))
   {
     RequestArrived request;
-    request.mNumber = ++mLast;
+    request.mNumber = ++mLastNumber;
     request.mKind = aKind;
     request.mIdempotent = aIdempotent;
     request.mDeadline = mNow + aDeadline;
-    Event(request);
-    return mLast;
+    ApplyEvent(request);
+    return mLastNumber;
   }
 
   /// @return the last action of a type, or null
   template<typename A>
-  const A* Find() const
+  const A* FindAction() const
   {
     const A* found = nullptr;
     for (const RoutingAction& action : mActions) {
@@ -75,14 +75,14 @@
   }
 
   /// @return whether the last event refused a request by this rule
-  [[nodiscard]] bool Refused(RoutingRule aRule) const
+  [[nodiscard]] bool WasRefusedBy(RoutingRule aRule) const
   {
-    const auto* end = Find<EndWithoutAnswer>();
+    const auto* end = FindAction<EndWithoutAnswer>();
     return end && end->mExplanation.mKind == DecisionKind::Refuse &&
            end->mExplanation.mRule == aRule;
   }
 
-  const RunnerLoad& Load(std::size_t aRunner = 0) const
+  const RunnerLoad& LoadOf(std::size_t aRunner = 0) const
   {
     return mState.mServices[0].mLoads[aRunner];
   }
--- a/Tests/LibRouting/TestRouting.cpp
+++ b/Tests/LibRouting/TestRouting.cpp
@@ -10,13 +10,13 @@
   RoutingFixture routing;
   for (int i = 0; i < 8; ++i) {
     routing.Arrive();
-    CHECK_TRUE(routing.Find<SendToRunner>() != nullptr);
+    CHECK_TRUE(routing.FindAction<SendToRunner>() != nullptr);
   }
   const RequestNumber ninth = routing.Arrive();
-  CHECK_TRUE(routing.Find<SendToRunner>() == nullptr);
-  routing.Event(TryEnded{ 1, TryResult::Answered });
-  CHECK_TRUE(routing.Find<SendToRunner>() != nullptr);
-  CHECK_EQUAL(ninth, routing.Find<SendToRunner>()->mNumber);
+  CHECK_TRUE(routing.FindAction<SendToRunner>() == nullptr);
+  routing.ApplyEvent(TryEnded{ 1, TryResult::Answered });
+  CHECK_TRUE(routing.FindAction<SendToRunner>() != nullptr);
+  CHECK_EQUAL(ninth, routing.FindAction<SendToRunner>()->mNumber);
 }
 
 // Guards against watches that use the slots that short requests need.
@@ -26,9 +26,9 @@
   routing.Arrive(Idempotent::Yes, RouteKind::Watch);
   routing.Arrive(Idempotent::Yes, RouteKind::Watch);
   routing.Arrive(Idempotent::Yes, RouteKind::Watch);
-  CHECK_TRUE(routing.Refused(RoutingRule::WatchShare));
+  CHECK_TRUE(routing.WasRefusedBy(RoutingRule::WatchShare));
   routing.Arrive();
-  CHECK_TRUE(routing.Find<SendToRunner>() != nullptr);
+  CHECK_TRUE(routing.FindAction<SendToRunner>() != nullptr);
 }
 
 // Guards against requests that wait although they can't be answered in time.
@@ -37,14 +37,14 @@
   RoutingFixture routing;
   routing.Arrive();
   routing.mNow += Millis(100);
-  routing.Event(TryEnded{ 1, TryResult::Answered });
+  routing.ApplyEvent(TryEnded{ 1, TryResult::Answered });
   for (int i = 0; i < 8; ++i) {
     routing.Arrive();
   }
   routing.Arrive(Idempotent::No, RouteKind::Short, Millis(110));
-  CHECK_TRUE(routing.Refused(RoutingRule::DeadlineTooShort));
+  CHECK_TRUE(routing.WasRefusedBy(RoutingRule::DeadlineTooShort));
   routing.Arrive(Idempotent::No, RouteKind::Short, Millis(200));
-  CHECK_TRUE(routing.Find<EndWithoutAnswer>() == nullptr);
+  CHECK_TRUE(routing.FindAction<EndWithoutAnswer>() == nullptr);
 }
 
 // Guards against a latency estimate that refuses all requests and therefore
@@ -54,12 +54,12 @@
   RoutingFixture routing;
   routing.mState.mServices[0].mMeanServiceUs = 2.5e6;
   routing.Arrive();
-  CHECK_TRUE(routing.Refused(RoutingRule::DeadlineTooShort));
+  CHECK_TRUE(routing.WasRefusedBy(RoutingRule::DeadlineTooShort));
   // 0.98^12 of 2.5 s is less than the deadline of 2 s.
   for (int i = 0; i < 12; ++i) {
     routing.Arrive();
   }
-  CHECK_TRUE(routing.Find<SendToRunner>() != nullptr);
+  CHECK_TRUE(routing.FindAction<SendToRunner>() != nullptr);
 }
 
 // Guards against a waiting request that is neither sent nor refused.
@@ -70,8 +70,8 @@
     routing.Arrive();
   }
   routing.mNow += Millis(2001);
-  routing.Event(Tick{});
-  CHECK_TRUE(routing.Refused(RoutingRule::DeadlinePassed));
+  routing.ApplyEvent(Tick{});
+  CHECK_TRUE(routing.WasRefusedBy(RoutingRule::DeadlinePassed));
 }
 
 // Guards against a second run of a request that must not run twice.
@@ -79,9 +79,9 @@
 {
   RoutingFixture routing(2);
   const RequestNumber number = routing.Arrive();
-  routing.Event(TryEnded{ number, TryResult::NoValidAnswer });
-  CHECK_TRUE(routing.Find<SendToRunner>() == nullptr);
-  CHECK_TRUE(routing.Find<EndWithoutAnswer>()->mExplanation.mKind ==
+  routing.ApplyEvent(TryEnded{ number, TryResult::NoValidAnswer });
+  CHECK_TRUE(routing.FindAction<SendToRunner>() == nullptr);
+  CHECK_TRUE(routing.FindAction<EndWithoutAnswer>()->mExplanation.mKind ==
              DecisionKind::Unknown);
 }
 
@@ -90,10 +90,10 @@
 {
   RoutingFixture routing(3);
   const RequestNumber number = routing.Arrive(Idempotent::Yes);
-  routing.Event(TryEnded{ number, TryResult::NoValidAnswer });
-  routing.Event(TryEnded{ number, TryResult::NotSent });
-  routing.Event(TryEnded{ number, TryResult::NotSent });
-  CHECK_TRUE(routing.Find<EndWithoutAnswer>()->mExplanation.mKind ==
+  routing.ApplyEvent(TryEnded{ number, TryResult::NoValidAnswer });
+  routing.ApplyEvent(TryEnded{ number, TryResult::NotSent });
+  routing.ApplyEvent(TryEnded{ number, TryResult::NotSent });
+  CHECK_TRUE(routing.FindAction<EndWithoutAnswer>()->mExplanation.mKind ==
              DecisionKind::Unknown);
 }
 
@@ -103,10 +103,10 @@
 {
   RoutingFixture routing(2);
   const RequestNumber number = routing.Arrive();
-  const RunnerRef first = routing.Find<SendToRunner>()->mRunner;
-  routing.Event(TryEnded{ number, TryResult::NotSent });
-  CHECK_TRUE(routing.Find<SendToRunner>() != nullptr);
-  CHECK_FALSE(routing.Find<SendToRunner>()->mRunner == first);
+  const RunnerRef first = routing.FindAction<SendToRunner>()->mRunner;
+  routing.ApplyEvent(TryEnded{ number, TryResult::NotSent });
+  CHECK_TRUE(routing.FindAction<SendToRunner>() != nullptr);
+  CHECK_FALSE(routing.FindAction<SendToRunner>()->mRunner == first);
 }
 
 // Guards against retries that multiply the load of a failing back end.
@@ -117,10 +117,10 @@
   constexpr int kRequests = 1000;
   for (int i = 0; i < kRequests; ++i) {
     const RequestNumber number = routing.Arrive(Idempotent::Yes);
-    while (routing.Find<SendToRunner>() != nullptr) {
+    while (routing.FindAction<SendToRunner>() != nullptr) {
       ++sends;
-      routing.Event(TryEnded{ number, TryResult::ShardNotOwned });
-      routing.Event(TryEnded{ number, TryResult::NotSent });
+      routing.ApplyEvent(TryEnded{ number, TryResult::ShardNotOwned });
+      routing.ApplyEvent(TryEnded{ number, TryResult::NotSent });
       for (Runner& runner : routing.mState.mServices[0].mRunners) {
         runner.mFailures = 0; // Only the budget limits retries here.
       }
@@ -136,19 +136,19 @@
 TEST(Routing, SuspectsARunnerAfterThreeFailuresUntilOneSuccess)
 {
   RoutingFixture routing;
-  routing.Event(ProbeEnded{ { 0, 0 }, false });
-  routing.Event(ProbeEnded{ { 0, 0 }, false });
+  routing.ApplyEvent(ProbeEnded{ { 0, 0 }, false });
+  routing.ApplyEvent(ProbeEnded{ { 0, 0 }, false });
   routing.Arrive();
-  CHECK_TRUE(routing.Find<SendToRunner>() != nullptr);
-  routing.Event(ProbeEnded{ { 0, 0 }, false });
+  CHECK_TRUE(routing.FindAction<SendToRunner>() != nullptr);
+  routing.ApplyEvent(ProbeEnded{ { 0, 0 }, false });
   routing.Arrive();
-  CHECK_TRUE(routing.Refused(RoutingRule::NoRunner));
+  CHECK_TRUE(routing.WasRefusedBy(RoutingRule::NoRunner));
   routing.mNow += Millis(500);
-  routing.Event(Tick{});
-  CHECK_TRUE(routing.Find<ProbeRunner>() != nullptr);
-  routing.Event(ProbeEnded{ { 0, 0 }, true });
+  routing.ApplyEvent(Tick{});
+  CHECK_TRUE(routing.FindAction<ProbeRunner>() != nullptr);
+  routing.ApplyEvent(ProbeEnded{ { 0, 0 }, true });
   routing.Arrive();
-  CHECK_TRUE(routing.Find<SendToRunner>() != nullptr);
+  CHECK_TRUE(routing.FindAction<SendToRunner>() != nullptr);
 }
 
 // Guards against a runner that counts as failing because of one connection that
@@ -157,8 +157,8 @@
 {
   RoutingFixture routing;
   const RequestNumber number = routing.Arrive();
-  routing.Event(TryEnded{ number, TryResult::TimedOut });
-  CHECK_TRUE(routing.Find<ProbeRunner>() != nullptr);
+  routing.ApplyEvent(TryEnded{ number, TryResult::TimedOut });
+  CHECK_TRUE(routing.FindAction<ProbeRunner>() != nullptr);
   CHECK_EQUAL(0U, routing.mState.mServices[0].mRunners[0].mFailures);
 }
 
@@ -168,16 +168,16 @@
 {
   RoutingFixture routing;
   const RequestNumber number = routing.Arrive();
-  routing.Event(TryEnded{ number, TryResult::NoValidAnswer });
-  CHECK_EQUAL(1, routing.Load().mSlotsInUse);
+  routing.ApplyEvent(TryEnded{ number, TryResult::NoValidAnswer });
+  CHECK_EQUAL(1, routing.LoadOf().mSlotsInUse);
   CHECK_FALSE(IsQuiescent(routing.mState, "s", routing.mNow));
   // The deadline of 2 s has passed; the longest run of 4 s has not.
   routing.mNow += Millis(4499);
-  routing.Event(Tick{});
-  CHECK_EQUAL(1, routing.Load().mSlotsInUse);
+  routing.ApplyEvent(Tick{});
+  CHECK_EQUAL(1, routing.LoadOf().mSlotsInUse);
   routing.mNow += Millis(1);
-  routing.Event(Tick{});
-  CHECK_EQUAL(0, routing.Load().mSlotsInUse);
+  routing.ApplyEvent(Tick{});
+  CHECK_EQUAL(0, routing.LoadOf().mSlotsInUse);
   CHECK_TRUE(IsQuiescent(routing.mState, "s", routing.mNow));
 }
 
@@ -191,22 +191,22 @@
   }
   routing.mNow += Millis(2000);
   for (RequestNumber i = 1; i <= 8; ++i) {
-    routing.Event(TryEnded{ i, TryResult::TimedOut });
+    routing.ApplyEvent(TryEnded{ i, TryResult::TimedOut });
   }
   routing.Arrive();
-  CHECK_TRUE(routing.Find<SendToRunner>() == nullptr);
-  CHECK_EQUAL(8, routing.Load().mSlotsInUse);
+  CHECK_TRUE(routing.FindAction<SendToRunner>() == nullptr);
+  CHECK_EQUAL(8, routing.LoadOf().mSlotsInUse);
 }
 
 // Guards against new requests to a runner that is leaving.
 TEST(Routing, SendsNothingToALeavingRunner)
 {
   RoutingFixture routing;
-  ServiceListed listed = RoutingFixture::Listed(1);
+  ServiceListed listed = RoutingFixture::MakeService(1);
   listed.mRunners[0].mLeaving = true;
-  routing.Event(listed);
+  routing.ApplyEvent(listed);
   routing.Arrive();
-  CHECK_TRUE(routing.Refused(RoutingRule::NoRunner));
+  CHECK_TRUE(routing.WasRefusedBy(RoutingRule::NoRunner));
 }
 
 // Guards against the use of slots in which requests of the previous owner may
@@ -214,23 +214,23 @@
 TEST(Routing, CountsSlotsAsTakenAfterATakeover)
 {
   RoutingFixture routing;
-  routing.Event(ShardLost{ "s" });
+  routing.ApplyEvent(ShardLost{ "s" });
   routing.Arrive();
-  CHECK_TRUE(routing.Refused(RoutingRule::NoRunner));
-  routing.Event(
+  CHECK_TRUE(routing.WasRefusedBy(RoutingRule::NoRunner));
+  routing.ApplyEvent(
     ShardAcquired{ "s", { 2, Acquisition::Successor, routing.mNow } });
-  CHECK_EQUAL(0, routing.Load().mUsableSlots);
+  CHECK_EQUAL(0, routing.LoadOf().mUsableSlots);
   routing.mNow += Millis(4499);
-  routing.Event(Tick{});
-  CHECK_EQUAL(0, routing.Load().mUsableSlots);
+  routing.ApplyEvent(Tick{});
+  CHECK_EQUAL(0, routing.LoadOf().mUsableSlots);
   routing.mNow += Millis(1);
-  routing.Event(Tick{});
-  CHECK_EQUAL(6, routing.Load().mUsableSlots);
-  CHECK_EQUAL(0, routing.Load().mUsableWatchSlots);
+  routing.ApplyEvent(Tick{});
+  CHECK_EQUAL(6, routing.LoadOf().mUsableSlots);
+  CHECK_EQUAL(0, routing.LoadOf().mUsableWatchSlots);
   routing.mNow += Millis(115500);
-  routing.Event(Tick{});
-  CHECK_EQUAL(8, routing.Load().mUsableSlots);
-  CHECK_EQUAL(2, routing.Load().mUsableWatchSlots);
+  routing.ApplyEvent(Tick{});
+  CHECK_EQUAL(8, routing.LoadOf().mUsableSlots);
+  CHECK_EQUAL(2, routing.LoadOf().mUsableWatchSlots);
 }
 
 // Guards against a hand-over while short requests of a previous owner may still
@@ -239,11 +239,11 @@
 TEST(Routing, IsQuiescentWhenNoShortRequestCanRun)
 {
   RoutingFixture routing;
-  routing.Event(ShardLost{ "s" });
-  routing.Event(
+  routing.ApplyEvent(ShardLost{ "s" });
+  routing.ApplyEvent(
     ShardAcquired{ "s", { 2, Acquisition::Successor, routing.mNow } });
   // The lease keeper reports a shard as lost before it asks.
-  routing.Event(ShardLost{ "s" });
+  routing.ApplyEvent(ShardLost{ "s" });
   CHECK_FALSE(IsQuiescent(routing.mState, "s", routing.mNow));
   CHECK_FALSE(IsQuiescent(routing.mState, "s", routing.mNow + Millis(4499)));
   CHECK_TRUE(IsQuiescent(routing.mState, "s", routing.mNow + Millis(4500)));
@@ -257,14 +257,14 @@
 TEST(Routing, ReservesOnlyWatchSlotsAfterAHandOver)
 {
   RoutingFixture routing;
-  routing.Event(ShardLost{ "s" });
-  routing.Event(
+  routing.ApplyEvent(ShardLost{ "s" });
+  routing.ApplyEvent(
     ShardAcquired{ "s", { 2, Acquisition::HandOver, routing.mNow } });
-  CHECK_EQUAL(6, routing.Load().mUsableSlots);
-  CHECK_EQUAL(0, routing.Load().mUsableWatchSlots);
+  CHECK_EQUAL(6, routing.LoadOf().mUsableSlots);
+  CHECK_EQUAL(0, routing.LoadOf().mUsableWatchSlots);
   routing.mNow += Millis(120000);
-  routing.Event(Tick{});
-  CHECK_EQUAL(8, routing.Load().mUsableSlots);
+  routing.ApplyEvent(Tick{});
+  CHECK_EQUAL(8, routing.LoadOf().mUsableSlots);
 }
 
 // Guards against requests that are refused while a peer has free slots, that
@@ -272,35 +272,37 @@
 TEST(Routing, ForwardsOnceToTheNearestPeerWithFreeSlots)
 {
   RoutingFixture routing(0);
-  routing.Event(PeerReported{ "far", 2, { { "desk", { 9, 0 } } } });
-  routing.Event(PeerReported{ "near", 0, { { "desk", { 1, 0 } } } });
+  routing.ApplyEvent(PeerReported{ "far", 2, { { "desk", { 9, 0 } } } });
+  routing.ApplyEvent(PeerReported{ "near", 0, { { "desk", { 1, 0 } } } });
   const RequestNumber number = routing.Arrive();
-  STRCMP_EQUAL("near", routing.Find<ForwardToPeer>()->mPeer.c_str());
-  routing.Event(TryEnded{ number, TryResult::RefusedByPeer });
-  CHECK_TRUE(routing.Refused(RoutingRule::NoRunner));
+  STRCMP_EQUAL("near", routing.FindAction<ForwardToPeer>()->mPeer.c_str());
+  routing.ApplyEvent(TryEnded{ number, TryResult::RefusedByPeer });
+  CHECK_TRUE(routing.WasRefusedBy(RoutingRule::NoRunner));
   routing.Arrive();
-  STRCMP_EQUAL("far", routing.Find<ForwardToPeer>()->mPeer.c_str());
+  STRCMP_EQUAL("far", routing.FindAction<ForwardToPeer>()->mPeer.c_str());
   routing.mNow += Millis(501);
   routing.Arrive();
-  CHECK_TRUE(routing.Refused(RoutingRule::NoRunner));
+  CHECK_TRUE(routing.WasRefusedBy(RoutingRule::NoRunner));
 }
 
 // Guards against a policy that ignores the load of runners, and against a
 // policy name that selects another policy.
 TEST(Routing, PoliciesChooseAsNamed)
 {
-  RoutingFixture least(2);
-  least.mState.mServices[0].mLoads[0].mSlotsInUse = 3;
-  RoutingFixture turns(2, "round-robin");
-  turns.mState.mServices[0].mLoads[0].mSlotsInUse = 3;
-  int leastBusy = 0;
-  int turnsBusy = 0;
+  RoutingFixture leastOutstanding(2);
+  leastOutstanding.mState.mServices[0].mLoads[0].mSlotsInUse = 3;
+  RoutingFixture roundRobin(2, "round-robin");
+  roundRobin.mState.mServices[0].mLoads[0].mSlotsInUse = 3;
+  int leastOutstandingBusy = 0;
+  int roundRobinBusy = 0;
   for (int i = 0; i < 2; ++i) {
-    least.Arrive();
-    leastBusy += least.Find<SendToRunner>()->mRunner.mRunner == 0 ? 1 : 0;
-    turns.Arrive();
-    turnsBusy += turns.Find<SendToRunner>()->mRunner.mRunner == 0 ? 1 : 0;
+    leastOutstanding.Arrive();
+    leastOutstandingBusy +=
+      leastOutstanding.FindAction<SendToRunner>()->mRunner.mRunner == 0 ? 1 : 0;
+    roundRobin.Arrive();
+    roundRobinBusy +=
+      roundRobin.FindAction<SendToRunner>()->mRunner.mRunner == 0 ? 1 : 0;
   }
-  CHECK_EQUAL(0, leastBusy);
-  CHECK_EQUAL(1, turnsBusy);
+  CHECK_EQUAL(0, leastOutstandingBusy);
+  CHECK_EQUAL(1, roundRobinBusy);
 }
--- a/Tests/LibRouting/TestSlotInvariant.cpp
+++ b/Tests/LibRouting/TestSlotInvariant.cpp
@@ -32,7 +32,7 @@
     , mGateways(kGateways, RoutingFixture(kRunners))
   {
     for (std::size_t i = 1; i < kGateways; ++i) {
-      mGateways[i].Event(ShardLost{ "s" });
+      mGateways[i].ApplyEvent(ShardLost{ "s" });
     }
   }
 
@@ -70,7 +70,7 @@
 
   void TickOwner()
   {
-    mGateways[mOwner].Event(Tick{});
+    mGateways[mOwner].ApplyEvent(Tick{});
     StartSentRequests();
   }
 
@@ -124,7 +124,7 @@
     } else {
       mRunning[index].mAbandoned = true; // The runner still works on it.
     }
-    mGateways[mOwner].Event(TryEnded{ number, aResult });
+    mGateways[mOwner].ApplyEvent(TryEnded{ number, aResult });
     StartSentRequests();
   }
 
@@ -140,14 +140,14 @@
     // The previous owner restarts and has lost its state.
     mGateways[mOwner] = RoutingFixture(kRunners);
     mGateways[mOwner].mNow = mNow;
-    mGateways[mOwner].Event(ShardLost{ "s" });
+    mGateways[mOwner].ApplyEvent(ShardLost{ "s" });
     mGateways[next].mState.mPending.clear();
     const Acquisition acquisition =
       quiescent ? Acquisition::HandOver
                 : (RandomBelow(2) == 0 ? Acquisition::Successor
                                        : Acquisition::Takeover);
     mOwner = next;
-    mGateways[mOwner].Event(
+    mGateways[mOwner].ApplyEvent(
       ShardAcquired{ "s", { ++mEpoch, acquisition, mNow } });
     StartSentRequests();
   }
--- a/Tests/Measure/MeasureLease.cpp
+++ b/Tests/Measure/MeasureLease.cpp
@@ -1,5 +1,6 @@
-// Counts what the sessions and shards of a number of processes cost the table
-// service, in virtual time.
+// Counts the writes and reads per second that the sessions and shards of a
+// number of processes cause at the table service. It simulates them in virtual
+// time.
 
 #include <cstdio>
 #include <string>
--- a/Tests/Measure/MeasureRpc.cpp
+++ b/Tests/Measure/MeasureRpc.cpp
@@ -1,5 +1,6 @@
-// Measures what one JSON-RPC call costs at each end, against the number of
-// task entries in its answer. A worker report is such a call.
+// Measures the processor time that one JSON-RPC call takes at the client and at
+// the server, by the number of task entries in its answer. A worker report is
+// such a call.
 
 #include <cstdio>
 #include <cstdlib>
