--- a/Libraries/LibLeaseCore/LeaseMargins.h
+++ b/Libraries/LibLeaseCore/LeaseMargins.h
@@ -16,7 +16,7 @@
 
 /// @return the time for which another process waits before it ends the session
 constexpr Millis
-TakerTerm(Millis aTerm)
+TakeoverTerm(Millis aTerm)
 {
   return aTerm * 11 / 10;
 }
--- a/Libraries/LibLeaseCore/LeaseQueries.cpp
+++ b/Libraries/LibLeaseCore/LeaseQueries.cpp
@@ -56,7 +56,7 @@
   // The time of the last read counts, not the present, so that an outage of the
   // table service does not make sessions suspect.
   return aState.mLastRead - aSession.mWatchedSince >=
-         TakerTerm(aSession.mRecord.mTerm);
+         TakeoverTerm(aSession.mRecord.mTerm);
 }
 
 bool
--- a/Libraries/LibLeaseCore/LeaseWrites.cpp
+++ b/Libraries/LibLeaseCore/LeaseWrites.cpp
@@ -114,7 +114,7 @@
   if (IsOwnEarlierSession(aState, record.mMember)) {
     return true;
   }
-  const Millis wait = TakerTerm(record.mTerm);
+  const Millis wait = TakeoverTerm(record.mTerm);
   if (aNow < aSession.mWatchedSince + wait ||
       HasGrantedPromise(aState, record.mMember.mName, aNow)) {
     return false;
--- a/Libraries/LibRouting/RoutingPolicy.h
+++ b/Libraries/LibRouting/RoutingPolicy.h
@@ -12,8 +12,8 @@
 /// decision scans all runners of a service.
 struct RunnerLoad
 {
-  std::uint16_t mUsableSlots =
-    0; ///< 0 while the runner must not get a request.
+  /// Slots that requests may use; 0 while the runner must not get a request.
+  std::uint16_t mUsableSlots = 0;
   std::uint16_t mUsableWatchSlots = 0; ///< Slots that watches may use.
   std::uint16_t mSlotsInUse = 0;       ///< Includes the slots of watches.
   std::uint16_t mWatchSlotsInUse = 0;
--- a/Libraries/LibRouting/RoutingState.h
+++ b/Libraries/LibRouting/RoutingState.h
@@ -65,11 +65,11 @@
 struct PeerState
 {
   std::string mName;
-  std::uint32_t mDistance =
-    0; ///< 0: same data centre; 1: same region; 2: other.
+  /// 0: same data centre; 1: same region; 2: other.
+  std::uint32_t mDistance = 0;
   MonotonicTime mReportedAt{};
-  std::map<std::string, PeerFreeSlots, std::less<>>
-    mFreeByService; ///< Key: service.
+  /// Free slots by the name of the service.
+  std::map<std::string, PeerFreeSlots, std::less<>> mFreeByService;
 };
 
 /// A request that has arrived and has not ended.
--- a/Tests/LibLease/LeaseSimulation.h
+++ b/Tests/LibLease/LeaseSimulation.h
@@ -93,8 +93,8 @@
     std::string mRegion;
     LeaseState mState;
     bool mAlive = false;
-    unsigned mStartCount =
-      0; ///< Events from before the last start are dropped.
+    /// Number of starts. Events from before the last start are dropped.
+    unsigned mStartCount = 0;
     double mRate = 1;
     VirtualTime mOffset{ 0 };
     VirtualTime mPausedUntil{ 0 };
