--- a/Libraries/LibLease/LeaseTable.cpp
+++ b/Libraries/LibLease/LeaseTable.cpp
@@ -154,8 +154,7 @@
     case LeaseReadPart::Sessions:
       return ScanSessions(aTable);
   }
-  return Error{ ErrorKind::Internal,
-                "unknown part of a read of the lease rows" };
+  return Error{ ErrorKind::Internal, "no such part of a read" };
 }
 
 } // namespace paddle
