--- a/Libraries/LibLeaseCore/LeaseDecisions.cpp
+++ b/Libraries/LibLeaseCore/LeaseDecisions.cpp
@@ -12,30 +12,34 @@
 
 namespace {
 
-/// Shards that stop at one time for a better owner; the others keep serving.
-constexpr std::size_t kStoppingAtOnce = 4;
+/// Number of shards that may stop at the same time for a hand-over to a better
+/// owner. The other shards continue to serve.
+constexpr std::size_t kMaxStoppingShards = 4;
 
-/// A shard that does not become quiescent in this time goes on with its owner,
-/// because callers would wait too long.
-constexpr Millis kStopLimitMs{ 2000 };
+/// A shard that does not become quiescent within this time stays with its
+/// owner, because callers would wait too long.
+constexpr Millis kMaxStopTimeMs{ 2000 };
 
-/// Pause before the next attempt to hand over such a shard.
-constexpr Millis kStopPauseMs{ 30000 };
+/// Time before the next attempt to hand over such a shard.
+constexpr Millis kHandOverRetryPauseMs{ 30000 };
 
+/// @return a request for a promise while renewals fail or are late, or nothing
+///         if none is due
 std::optional<LeaseAction>
 NextPromise(LeaseState& aState, MonotonicTime aNow)
 {
-  // A slow table service can use up the term without a failure.
-  const bool late = aState.mSessionVersion != 0 &&
-                    aState.mConfirmedSent != kNever &&
-                    aNow >= aState.mConfirmedSent + aState.mConfirmed.mTerm / 2;
+  // A slow table service can delay renewals past the term without a failure.
+  const bool late =
+    aState.mSessionVersion != 0 && aState.mConfirmedSentAt != kDistantPast &&
+    aNow >= aState.mConfirmedSentAt + aState.mConfirmedRenewal.mTerm / 2;
   if (aState.mSessionVersion == 0 || (!aState.mRenewalFailing && !late)) {
     aState.mPromisesToAsk.clear();
     return std::nullopt;
   }
   if (aNow >= aState.mNextPromise && SessionHolds(aState, aNow)) {
-    // Each second at the usual term; two requests may be lost.
-    aState.mNextPromise = aNow + aState.mConfirmed.mTerm / 3;
+    // This is once per second at the default term, so that two requests may be
+    // lost before the term ends.
+    aState.mNextPromise = aNow + aState.mConfirmedRenewal.mTerm / 3;
     aState.mPromisesToAsk.clear();
     for (const auto& [name, member] : aState.mPossibleSuccessors) {
       if (!name.empty()) {
@@ -46,18 +50,19 @@
   if (aState.mPromisesToAsk.empty()) {
     return std::nullopt;
   }
-  AskPromise ask{ aState.mPromisesToAsk.back(), aState.mConfirmed.mTerm };
+  AskPromise ask{ aState.mPromisesToAsk.back(),
+                  aState.mConfirmedRenewal.mTerm };
   aState.mPromisesToAsk.pop_back();
   return ask;
 }
 
-/// @return the next part of the read under way, or the first of a new read if
-///         one is due
+/// @return the next part of the read in progress, or the first part of a new
+///         read if one is due
 std::optional<LeaseAction>
 NextRead(LeaseState& aState, MonotonicTime aNow)
 {
-  if (aState.mNextPart) {
-    return ReadLeaseRows{ *aState.mNextPart, {} };
+  if (aState.mNextReadPart) {
+    return ReadLeaseRows{ *aState.mNextReadPart, {} };
   }
   if (aNow < aState.mNextRead) {
     return std::nullopt;
@@ -72,6 +77,8 @@
   return read;
 }
 
+/// @return whether this process may create a session: it has none, and no row
+///         has its name
 bool
 ShouldCreateSession(const LeaseState& aState)
 {
@@ -79,7 +86,8 @@
          !aState.mSessions.contains(aState.mSelf.mName);
 }
 
-/// @return whether the shard has a better owner that has proved to be stable
+/// @return whether another process would be a better owner of the shard and has
+///         had its session for at least a term
 bool
 HasBetterOwner(const LeaseState& aState,
                const ShardPlace& aPlace,
@@ -94,112 +102,122 @@
   return aNow >= session.mFirstSeen + session.mRecord.mTerm;
 }
 
+/// Begins to stop the work of a shard.
 void
 StopShard(LeaseState& aState, const std::string& aShard, MonotonicTime aNow)
 {
-  aState.mStopping.try_emplace(aShard,
-                               StoppingShard{ aNow, false, std::nullopt });
+  aState.mStoppingShards.try_emplace(
+    aShard, StoppingShard{ aNow, false, std::nullopt });
 }
 
-/// Goes on with shards that were to be handed over, where the better owner is
-/// gone or the work does not end.
+/// Resumes shards that were stopping for a hand-over if the better owner is
+/// gone or the work does not stop in time.
 void
 ResumeShards(LeaseState& aState,
              std::span<const LeaseMember* const> aCandidates,
              MonotonicTime aNow)
 {
-  for (const ShardPlace& place : aState.mPlaces) {
-    const auto stopping = aState.mStopping.find(place.mId);
-    if (stopping == aState.mStopping.end() || stopping->second.mSentVersion) {
+  for (const ShardPlace& place : aState.mShardPlaces) {
+    const auto stopping = aState.mStoppingShards.find(place.mId);
+    if (stopping == aState.mStoppingShards.end() ||
+        stopping->second.mHandOverSessionVersion) {
       continue;
     }
     const bool tooLong = !stopping->second.mQuiescent &&
-                         aNow >= stopping->second.mSince + kStopLimitMs;
+                         aNow >= stopping->second.mSince + kMaxStopTimeMs;
     if (tooLong) {
-      aState.mNotBefore[place.mId] = aNow + kStopPauseMs;
+      aState.mHandOverNotBefore[place.mId] = aNow + kHandOverRetryPauseMs;
     }
     if (tooLong || !HasBetterOwner(aState, place, aCandidates, aNow)) {
-      aState.mStopping.erase(stopping);
+      aState.mStoppingShards.erase(stopping);
     }
   }
 }
 
-/// Chooses the shards whose work stops now.
+/// Chooses the shards whose work stops now: all of them in an orderly stop,
+/// else some of those that have a better owner.
 void
-UpdateStopping(LeaseState& aState, MonotonicTime aNow)
+UpdateStoppingShards(LeaseState& aState, MonotonicTime aNow)
 {
   if (aState.mLeaving) {
-    for (const auto& [shard, held] : aState.mHeld) {
+    for (const auto& [shard, held] : aState.mHeldShards) {
       StopShard(aState, shard, aNow);
     }
     return;
   }
   const std::vector<const LeaseMember*> candidates = OwnerCandidates(aState);
   ResumeShards(aState, candidates, aNow);
-  for (const ShardPlace& place : aState.mPlaces) {
-    if (aState.mStopping.size() >= kStoppingAtOnce) {
+  for (const ShardPlace& place : aState.mShardPlaces) {
+    if (aState.mStoppingShards.size() >= kMaxStoppingShards) {
       return;
     }
-    if (!aState.mHeld.contains(place.mId) ||
+    if (!aState.mHeldShards.contains(place.mId) ||
         !HasBetterOwner(aState, place, candidates, aNow)) {
       continue;
     }
-    const auto notBefore = aState.mNotBefore.find(place.mId);
-    if (notBefore == aState.mNotBefore.end() || aNow >= notBefore->second) {
+    const auto notBefore = aState.mHandOverNotBefore.find(place.mId);
+    if (notBefore == aState.mHandOverNotBefore.end() ||
+        aNow >= notBefore->second) {
       StopShard(aState, place.mId, aNow);
     }
   }
 }
 
-/// Marks a hand-over as unsettled before it is sent.
+/// Records before a hand-over is sent that its result is not known.
 void
-NoteHandOver(LeaseState& aState, const WriteLeaseRows& aAction)
+MarkHandOverSent(LeaseState& aState, const WriteLeaseRows& aAction)
 {
   for (const LeaseRowWrite& write : aAction.mWrites) {
     if (std::holds_alternative<ShardRecord>(write.mValue)) {
       const std::string shard =
         write.mKey.substr(std::string_view(kShardPrefix).size());
-      aState.mStopping.at(shard).mSentVersion = aState.mSessionVersion;
+      aState.mStoppingShards.at(shard).mHandOverSessionVersion =
+        aState.mSessionVersion;
     }
   }
 }
 
+/// @return a transaction that hands over or takes shards, or nothing if none is
+///         due
 std::optional<LeaseAction>
 NextShardAction(LeaseState& aState, MonotonicTime aNow)
 {
   if (!SessionHolds(aState, aNow)) {
     return std::nullopt;
   }
-  UpdateStopping(aState, aNow);
+  UpdateStoppingShards(aState, aNow);
   if (auto handOver = MakeHandOver(aState)) {
-    NoteHandOver(aState, *handOver);
+    MarkHandOverSent(aState, *handOver);
     return *handOver;
   }
   if (aState.mLeaving) {
     return std::nullopt;
   }
-  if (auto take = MakeTake(aState, aNow)) {
+  if (auto take = MakeAcquisition(aState, aNow)) {
     return *take;
   }
   return std::nullopt;
 }
 
+/// @return the transaction that ends the own session once an orderly stop has
+///         come that far
 std::optional<LeaseAction>
-NextLeave(LeaseState& aState, MonotonicTime aNow)
+NextStepOfLeaving(LeaseState& aState, MonotonicTime aNow)
 {
   if (!aState.mLeaving ||
-      (!aState.mEndNow && !(aState.mFresh && ReadyToLeave(aState, aNow)))) {
+      (!aState.mEndWithoutHandOver &&
+       !(aState.mReadIsCurrent && ReadyToLeave(aState, aNow)))) {
     return std::nullopt;
   }
   if (aState.mSessionVersion == 0) {
-    aState.mLeft = true;
+    aState.mHasLeft = true;
     return std::nullopt;
   }
-  aState.mHandedOverAll = aState.mHeld.empty();
-  // The row may be gone from here on, whatever the answer says.
-  aState.mValidUntil = kNever;
+  aState.mHandedOverAll = aState.mHeldShards.empty();
+  // From now on the row may be deleted, whatever result is reported.
+  aState.mValidUntil = kDistantPast;
   aState.mPromisedUntil.clear();
-  return MakeLeave(aState);
+  return MakeOwnSessionEnd(aState);
 }
 
 } // namespace
@@ -207,13 +225,13 @@
 std::optional<LeaseAction>
 NextAction(LeaseState& aState, MonotonicTime aNow)
 {
-  if (aState.mLeft) {
+  if (aState.mHasLeft) {
     return std::nullopt;
   }
   if (auto promise = NextPromise(aState, aNow)) {
     return promise;
   }
-  if (auto leave = NextLeave(aState, aNow)) {
+  if (auto leave = NextStepOfLeaving(aState, aNow)) {
     return leave;
   }
   if (aState.mSessionVersion != 0 && aNow >= aState.mNextRenewal) {
@@ -222,7 +240,7 @@
   if (auto read = NextRead(aState, aNow)) {
     return read;
   }
-  if (!aState.mFresh || aState.mLeft) {
+  if (!aState.mReadIsCurrent || aState.mHasLeft) {
     return std::nullopt;
   }
   if (ShouldCreateSession(aState)) {
@@ -242,7 +260,7 @@
   }
   aState.mLeaving = true;
   aState.mNextRenewal = aNow;
-  aState.mStopping.clear();
+  aState.mStoppingShards.clear();
 }
 
 } // namespace paddle
--- a/Libraries/LibLeaseCore/LeaseQueries.cpp
+++ b/Libraries/LibLeaseCore/LeaseQueries.cpp
@@ -10,14 +10,17 @@
 
 namespace {
 
-/// @return whether all possible successors have promised to wait. A promise
-///         does not count beyond the wait of all other processes.
+/// @return whether all possible successors have promised not to end the
+///         session. A promise does not count after the time at which all other
+///         processes may take over.
 bool
 PromisesHold(const LeaseState& aState, MonotonicTime aNow)
 {
-  if (aState.mConfirmedSent == kNever || aState.mPossibleSuccessors.empty() ||
-      aNow >= aState.mConfirmedSent +
-                HolderLongWait(aState.mConfirmed.mForeignTakeoverWait)) {
+  if (aState.mConfirmedSentAt == kDistantPast ||
+      aState.mPossibleSuccessors.empty() ||
+      aNow >=
+        aState.mConfirmedSentAt +
+          HolderTakeoverWait(aState.mConfirmedRenewal.mForeignTakeoverWait)) {
     return false;
   }
   return std::ranges::all_of(
@@ -39,9 +42,9 @@
 const HeldShard*
 FindOwned(const LeaseState& aState, std::string_view aShard, MonotonicTime aNow)
 {
-  const auto held = aState.mHeld.find(aShard);
-  if (held == aState.mHeld.end() || aState.mStopping.contains(aShard) ||
-      !SessionHolds(aState, aNow)) {
+  const auto held = aState.mHeldShards.find(aShard);
+  if (held == aState.mHeldShards.end() ||
+      aState.mStoppingShards.contains(aShard) || !SessionHolds(aState, aNow)) {
     return nullptr;
   }
   return &held->second;
@@ -50,9 +53,10 @@
 bool
 IsSuspect(const LeaseState& aState, const SeenSession& aSession)
 {
-  // Judged as of the last read, so that a store outage makes nobody suspect.
+  // The time of the last read counts, not the present, so that an outage of the
+  // table service does not make sessions suspect.
   return aState.mLastRead - aSession.mWatchedSince >=
-         TakerTerm(aSession.mRecord.mTerm);
+         TakeoverTerm(aSession.mRecord.mTerm);
 }
 
 bool
@@ -76,11 +80,11 @@
 const LeaseMember*
 NamedSuccessor(const LeaseState& aState)
 {
-  if (aState.mSessionVersion == 0 || aState.mConfirmedSent == kNever) {
+  if (aState.mSessionVersion == 0 || aState.mConfirmedSentAt == kDistantPast) {
     return nullptr;
   }
   const auto found =
-    aState.mPossibleSuccessors.find(aState.mConfirmed.mSuccessor);
+    aState.mPossibleSuccessors.find(aState.mConfirmedRenewal.mSuccessor);
   if (found == aState.mPossibleSuccessors.end() || found->first.empty()) {
     return nullptr;
   }
@@ -102,7 +106,8 @@
 std::vector<const LeaseMember*>
 OwnerCandidates(const LeaseState& aState)
 {
-  // The own row may be missing or old in the last read.
+  // This process is added here, because its own row may be absent or outdated
+  // in the last read.
   std::vector<const LeaseMember*> members = StayingPeers(aState);
   if (aState.mSessionVersion != 0 && !aState.mLeaving) {
     members.push_back(&aState.mSelf);
@@ -116,17 +121,17 @@
   if (aState.mSessionVersion == 0) {
     return true;
   }
-  if (aState.mHeld.empty()) {
-    // New owners learn of a hand-over by their next read. They find this
-    // process's address there as long as its session exists, and may fetch
-    // what belongs to the shard.
-    return aState.mLastHandOver == kNever ||
+  if (aState.mHeldShards.empty()) {
+    // New owners learn of a hand-over with their next read. While the session
+    // exists, the read also gives them the address of this process, from which
+    // they may fetch the data of the shard.
+    return aState.mLastHandOver == kDistantPast ||
            aNow >= aState.mLastHandOver + RenewInterval(aState) * 3 / 2;
   }
   return OwnerCandidates(aState).empty() &&
-         std::ranges::all_of(aState.mHeld, [&](const auto& aHeld) {
-           const auto stopping = aState.mStopping.find(aHeld.first);
-           return stopping != aState.mStopping.end() &&
+         std::ranges::all_of(aState.mHeldShards, [&](const auto& aHeld) {
+           const auto stopping = aState.mStoppingShards.find(aHeld.first);
+           return stopping != aState.mStoppingShards.end() &&
                   stopping->second.mQuiescent;
          });
 }
--- a/Libraries/LibLeaseCore/LeaseWrites.cpp
+++ b/Libraries/LibLeaseCore/LeaseWrites.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// Renewals of all processes together stay below this share of the several
-/// hundred writes/s that the table service sustains.
-constexpr std::int64_t kRenewalsPerSecond = 100;
+/// The renewals of all processes together stay below this rate, which is a part
+/// of the several hundred writes per second that the table service sustains.
+constexpr std::int64_t kMaxRenewalsPerSecond = 100;
 
-/// Bounds the size of one transaction.
-constexpr std::size_t kShardsPerTransaction = 32;
+/// Bound on the size of one transaction.
+constexpr std::size_t kMaxShardsPerTransaction = 32;
 
 std::string
 SessionKey(const LeaseMember& aMember)
@@ -25,8 +25,8 @@
   return kSessionPrefix + aMember.mName;
 }
 
-/// Adds the own session's condition: a process that has lost its session
-/// can't change a shard.
+/// Adds the condition that the own session row has not changed, so that a
+/// process that has lost its session can't change a shard.
 void
 RequireOwnSession(const LeaseState& aState, WriteLeaseRows& aAction)
 {
@@ -46,20 +46,24 @@
   aAction.mWrites.push_back({ key, std::move(aRecord) });
 }
 
+/// Adds the write that tells other processes that shard rows have changed.
 void
 TouchShardRevision(WriteLeaseRows& aAction)
 {
   aAction.mWrites.push_back({ kShardRevisionKey, RowTouch{} });
 }
 
+/// @return the number of shards in a transaction that writes nothing else so
+///         far
 std::size_t
-ShardCount(const WriteLeaseRows& aAction)
+ShardsInTransaction(const WriteLeaseRows& aAction)
 {
   return aAction.mWrites.size();
 }
 
+/// @return the successor that the next renewal names, or null for none
 const LeaseMember*
-WantedSuccessor(const LeaseState& aState)
+PreferredSuccessor(const LeaseState& aState)
 {
   if (aState.mLeaving) {
     return nullptr;
@@ -67,16 +71,17 @@
   return ChooseSuccessor(aState.mSelf, StayingPeers(aState));
 }
 
-/// @return whether the session belongs to an earlier life of this process,
-///         which surely uses it no more
+/// @return whether the session is an earlier one of this process since its
+///         start, which it certainly no longer uses
 bool
-IsOwnFormerSession(const LeaseState& aState, const LeaseMember& aMember)
+IsOwnEarlierSession(const LeaseState& aState, const LeaseMember& aMember)
 {
   return aMember.mName == aState.mSelf.mName &&
          aMember.mIncarnation == aState.mSelf.mIncarnation &&
          aMember.mGeneration < aState.mSelf.mGeneration;
 }
 
+/// @return whether an operator has stated that the host of a member is gone
 bool
 IsReleased(const LeaseState& aState, const LeaseMember& aMember)
 {
@@ -85,47 +90,51 @@
          release->second.mRecord.mIncarnation == aMember.mIncarnation;
 }
 
+/// @return whether a promise of this process to a member holds
 bool
-HasGranted(const LeaseState& aState,
-           const std::string& aMember,
-           MonotonicTime aNow)
+HasGrantedPromise(const LeaseState& aState,
+                  const std::string& aMember,
+                  MonotonicTime aNow)
 {
   const auto granted = aState.mGrantedUntil.find(aMember);
   return granted != aState.mGrantedUntil.end() && aNow < granted->second;
 }
 
+/// @return whether this process may end a session now
 bool
-MayEnd(const LeaseState& aState,
-       const SeenSession& aSession,
-       MonotonicTime aNow)
+MayEndSession(const LeaseState& aState,
+              const SeenSession& aSession,
+              MonotonicTime aNow)
 {
   const SessionRecord& record = aSession.mRecord;
   if (record.mMember.mRole != aState.mSelf.mRole ||
       IsSelf(aState, record.mMember)) {
     return false;
   }
-  if (IsOwnFormerSession(aState, record.mMember)) {
+  if (IsOwnEarlierSession(aState, record.mMember)) {
     return true;
   }
-  const Millis wait = TakerTerm(record.mTerm);
+  const Millis wait = TakeoverTerm(record.mTerm);
   if (aNow < aSession.mWatchedSince + wait ||
-      HasGranted(aState, record.mMember.mName, aNow)) {
+      HasGrantedPromise(aState, record.mMember.mName, aNow)) {
     return false;
   }
   if (record.mSuccessor == aState.mSelf.mName) {
-    // An earlier life of this process may have promised something.
-    return aNow >= aState.mStarted + wait;
+    // Before its last restart this process may have made a promise, which would
+    // have ended by then.
+    return aNow >= aState.mStartedAt + wait;
   }
   return record.mSuccessor.empty() || IsReleased(aState, record.mMember) ||
          aNow >= aSession.mUnchangedSince + record.mForeignTakeoverWait;
 }
 
-/// Adds the shards of the ended session, if this process is its successor and
-/// holds copies of what belongs to them.
+/// Adds the acquisition of the shards of the ended session if this process is
+/// its successor. The incarnation must match too, because a restarted process
+/// no longer has the copies of the shards' data.
 void
-AddSuccession(const LeaseState& aState,
-              const SessionRecord& aEnded,
-              WriteLeaseRows& aAction)
+AddShardsOfEndedSession(const LeaseState& aState,
+                        const SessionRecord& aEnded,
+                        WriteLeaseRows& aAction)
 {
   if (aState.mSessionVersion == 0 || aState.mLeaving ||
       aEnded.mSuccessor != aState.mSelf.mName ||
@@ -145,6 +154,7 @@
   TouchShardRevision(aAction);
 }
 
+/// @return whether this session of a member exists as of the last read
 bool
 HasSession(const LeaseState& aState, const LeaseMember& aMember)
 {
@@ -163,7 +173,7 @@
 {
   const auto writers = static_cast<std::int64_t>(aState.mSessions.size());
   return std::max(aState.mTimes.mRenewInterval,
-                  Millis(writers * 1000 / kRenewalsPerSecond));
+                  Millis(writers * 1000 / kMaxRenewalsPerSecond));
 }
 
 Millis
@@ -183,7 +193,7 @@
   record.mForeignTakeoverWait = aState.mTimes.mForeignTakeoverWait;
   record.mLeaving = aState.mLeaving;
   LeaseMember successor;
-  if (const LeaseMember* wanted = WantedSuccessor(aState)) {
+  if (const LeaseMember* wanted = PreferredSuccessor(aState)) {
     successor = *wanted;
   }
   record.mSuccessor = successor.mName;
@@ -191,17 +201,17 @@
 
   aState.mSuccessorsBeforeSend = aState.mPossibleSuccessors;
   aState.mPossibleSuccessors[successor.mName] = successor;
-  // A shorter term counts from the moment at which the row may hold it.
+  // A shorter term applies from the time at which the row may contain it.
   aState.mValidUntil =
     std::min(aState.mValidUntil, aNow + HolderTerm(record.mTerm));
-  aState.mSent = record;
+  aState.mSentRenewal = record;
 
   WriteLeaseRows action;
   action.mPurpose = LeaseWritePurpose::Renew;
   RequireOwnSession(aState, action);
   action.mWrites.push_back({ SessionKey(aState.mSelf), std::move(record) });
   if (aState.mSessionVersion == 0) {
-    // A release concerned an earlier process of this name.
+    // A release row was meant for an earlier process with this name.
     action.mWrites.push_back(
       { kReleasePrefix + aState.mSelf.mName, RowDeletion{} });
   }
@@ -212,12 +222,12 @@
 MakeSessionEnd(const LeaseState& aState, MonotonicTime aNow)
 {
   for (const auto& [name, session] : aState.mSessions) {
-    if (!MayEnd(aState, session, aNow)) {
+    if (!MayEndSession(aState, session, aNow)) {
       continue;
     }
     WriteLeaseRows action;
-    action.mPurpose = LeaseWritePurpose::End;
-    action.mMember = name;
+    action.mPurpose = LeaseWritePurpose::EndOtherSession;
+    action.mEndedMember = name;
     action.mConditions.push_back({ kSessionPrefix + name, session.mVersion });
     action.mWrites.push_back({ kSessionPrefix + name, RowDeletion{} });
     const auto release = aState.mReleases.find(name);
@@ -226,24 +236,24 @@
         { kReleasePrefix + name, release->second.mVersion });
       action.mWrites.push_back({ kReleasePrefix + name, RowDeletion{} });
     }
-    AddSuccession(aState, session.mRecord, action);
+    AddShardsOfEndedSession(aState, session.mRecord, action);
     return action;
   }
   return std::nullopt;
 }
 
 std::optional<WriteLeaseRows>
-MakeTake(const LeaseState& aState, MonotonicTime aNow)
+MakeAcquisition(const LeaseState& aState, MonotonicTime aNow)
 {
   const std::vector<const LeaseMember*> candidates = OwnerCandidates(aState);
-  // Processes that start together see each other before the first owners are
-  // chosen, which saves hand-overs.
+  // Processes that start at the same time see each other before the first
+  // owners are chosen, which avoids hand-overs.
   const bool settled =
     aNow >= aState.mSessionSince + aState.mTimes.mRenewInterval;
   WriteLeaseRows action;
-  action.mPurpose = LeaseWritePurpose::Take;
+  action.mPurpose = LeaseWritePurpose::TakeShards;
   RequireOwnSession(aState, action);
-  for (const ShardPlace& place : aState.mPlaces) {
+  for (const ShardPlace& place : aState.mShardPlaces) {
     const auto seen = aState.mShards.find(place.mId);
     const bool isNew = seen == aState.mShards.end();
     if (isNew ? !settled : HasSession(aState, seen->second.mRecord.mOwner)) {
@@ -259,7 +269,7 @@
       { aState.mSelf,
         isNew ? 1 : seen->second.mRecord.mEpoch + 1,
         isNew ? ShardAcquisition::FirstOwner : ShardAcquisition::Takeover });
-    if (ShardCount(action) == kShardsPerTransaction) {
+    if (ShardsInTransaction(action) == kMaxShardsPerTransaction) {
       break;
     }
   }
@@ -277,16 +287,16 @@
   WriteLeaseRows action;
   action.mPurpose = LeaseWritePurpose::HandOver;
   RequireOwnSession(aState, action);
-  for (const auto& [shard, stopping] : aState.mStopping) {
+  for (const auto& [shard, stopping] : aState.mStoppingShards) {
     const auto seen = aState.mShards.find(shard);
-    if (!stopping.mQuiescent || stopping.mSentVersion ||
+    if (!stopping.mQuiescent || stopping.mHandOverSessionVersion ||
         seen == aState.mShards.end()) {
       continue;
     }
     const auto place =
-      std::ranges::find(aState.mPlaces, shard, &ShardPlace::mId);
+      std::ranges::find(aState.mShardPlaces, shard, &ShardPlace::mId);
     const LeaseMember* target = ChooseOwner(
-      place == aState.mPlaces.end() ? ShardPlace{ shard, "", "" } : *place,
+      place == aState.mShardPlaces.end() ? ShardPlace{ shard, "", "" } : *place,
       candidates);
     if (!target) {
       continue;
@@ -296,7 +306,7 @@
       shard,
       seen->second.mVersion,
       { *target, seen->second.mRecord.mEpoch + 1, ShardAcquisition::HandOver });
-    if (ShardCount(action) == kShardsPerTransaction) {
+    if (ShardsInTransaction(action) == kMaxShardsPerTransaction) {
       break;
     }
   }
@@ -308,10 +318,10 @@
 }
 
 WriteLeaseRows
-MakeLeave(const LeaseState& aState)
+MakeOwnSessionEnd(const LeaseState& aState)
 {
   WriteLeaseRows action;
-  action.mPurpose = LeaseWritePurpose::Leave;
+  action.mPurpose = LeaseWritePurpose::EndOwnSession;
   RequireOwnSession(aState, action);
   action.mWrites.push_back({ SessionKey(aState.mSelf), RowDeletion{} });
   return action;
--- a/Tests/LibLease/LeaseWorld.h
+++ b/Tests/LibLease/LeaseSimulation.h
@@ -19,61 +19,71 @@
 /// Virtual time since the start of a simulation.
 using VirtualTime = std::chrono::microseconds;
 
-struct LeaseWorldSettings
+struct LeaseSimulationSettings
 {
   std::uint64_t mSeed = 1;
   LeaseTimes mTimes;
   unsigned mShards = 6;
-  /// Per mille of writes whose answer is lost, and of writes that arrive only
-  /// after the sender has given up.
-  unsigned mLostAnswers = 0;
-  unsigned mLateWrites = 0;
+  /// Share of writes whose answer is lost, and of writes that arrive only after
+  /// the call of the sender has timed out.
+  unsigned mLostAnswersPerMille = 0;
+  unsigned mLateWritesPerMille = 0;
 };
 
-/// Several processes that drive the lease decisions against one table, in
-/// virtual time. Each has a clock of its own rate and offset. After each
-/// event the world checks that no shard has two valid owners and that no
-/// epoch goes back.
-class LeaseWorld
+/// Simulates several processes that make lease decisions with one table, in
+/// virtual time. The clock of each process has its own rate and offset. After
+/// each event the simulation checks that no shard has two valid owners and that
+/// no epoch decreases.
+class LeaseSimulation
 {
 public:
-  explicit LeaseWorld(LeaseWorldSettings aSettings);
+  explicit LeaseSimulation(LeaseSimulationSettings aSettings);
 
-  /// Starts a process, also one that was killed before.
+  /// Starts a process, which may have been killed before.
   void Start(const std::string& aName,
              const std::string& aDataCentre = "dc-1",
              const std::string& aRegion = "r1");
   void Kill(const std::string& aName);
-  /// Starts a killed process again where it was.
+  /// Starts a killed process again in its data centre.
   void Restart(const std::string& aName);
+  /// Freezes a process for a time, as a stopped virtual machine would be.
   void Pause(const std::string& aName, VirtualTime aDuration);
+  /// Begins an orderly stop of a process.
   void Leave(const std::string& aName);
 
+  /// Makes the store unavailable to all processes, or available again.
   void SetOutage(bool aOn) { mOutage = aOn; }
   /// Sets the time that a call of the store takes, or that passes until a call
   /// fails in an outage; random by default.
-  void SetCallTime(VirtualTime aTime) { mCallTime = aTime; }
-  /// Cuts a process off from the store or connects it again.
-  void CutFromStore(const std::string& aName, bool aCut);
-  void CutPeers(const std::string& aOne, const std::string& aOther, bool aCut);
-  void SetWriteFaults(unsigned aLostAnswers, unsigned aLateWrites);
+  void SetStoreCallTime(VirtualTime aTime) { mStoreCallTime = aTime; }
+  /// Separates a process from the store, or connects it again.
+  void PartitionFromStore(const std::string& aName, bool aPartitioned);
+  /// Separates two processes from each other, or connects them again.
+  void PartitionPeers(const std::string& aOne,
+                      const std::string& aOther,
+                      bool aPartitioned);
+  void SetWriteFaults(unsigned aLostAnswersPerMille,
+                      unsigned aLateWritesPerMille);
+  /// Writes the release row of a process, as an operator does when its host is
+  /// gone.
   void Release(const std::string& aName);
 
   void RunFor(VirtualTime aDuration);
 
-  [[nodiscard]] bool Alive(const std::string& aName) const;
+  [[nodiscard]] bool IsAlive(const std::string& aName) const;
   /// @return names of the processes that own the shard at this moment
   std::vector<std::string> OwnersOf(const std::string& aShard) const;
   /// @return number of shards that the process owns at this moment
   int OwnedBy(const std::string& aName) const;
-  int Owned() const;
+  /// @return number of shards that any process owns at this moment
+  int TotalOwned() const;
   /// @return the shard as its owner holds it
-  std::optional<HeldShard> Held(const std::string& aShard) const;
+  std::optional<HeldShard> HeldShardOf(const std::string& aShard) const;
   [[nodiscard]] const LeaseState& StateOf(const std::string& aName) const;
   TableCounters Counters() const { return mTable.Counters(); }
   std::uint64_t Random(std::uint64_t aBelow) { return mRandom() % aBelow; }
 
-  /// @return what went wrong first, or an empty text
+  /// @return the first violation that a check found, or an empty text
   [[nodiscard]] const std::string& Violation() const { return mViolation; }
 
 private:
@@ -83,11 +93,12 @@
     std::string mRegion;
     LeaseState mState;
     bool mAlive = false;
-    unsigned mLife = 0; ///< Events of earlier lives are dropped.
+    /// Number of starts. Events from before the last start are dropped.
+    unsigned mStartCount = 0;
     double mRate = 1;
     VirtualTime mOffset{ 0 };
     VirtualTime mPausedUntil{ 0 };
-    bool mCut = false;
+    bool mPartitionedFromStore = false;
   };
 
   struct Event
@@ -105,35 +116,37 @@
   VirtualTime NetworkDelay();
   VirtualTime StoreDelay();
   VirtualTime FailureDelay();
-  void At(VirtualTime aTime, std::function<void()> aRun);
-  /// Runs something in a process; later if it is paused, never if it has died.
-  void In(const std::string& aName,
-          VirtualTime aTime,
-          std::function<void()> aRun);
-  void Work(const std::string& aName);
-  void WorkAfterTick(const std::string& aName);
+  void RunAt(VirtualTime aTime, std::function<void()> aRun);
+  /// Runs a function in a process at a time: later if the process is paused
+  /// then, and never if it has died.
+  void RunInProcess(const std::string& aName,
+                    VirtualTime aTime,
+                    std::function<void()> aRun);
+  void RunNextAction(const std::string& aName);
+  void RunNextActionAfterTick(const std::string& aName);
   void Send(const std::string& aName, const LeaseAction& aAction);
   void SendWrite(const std::string& aName, const WriteLeaseRows& aAction);
   void SendRead(const std::string& aName, const ReadLeaseRows& aAction);
   void SendPromise(const std::string& aName, const AskPromise& aAction);
   bool StoreReachable(const std::string& aName) const;
-  void Check();
+  void CheckAllShards();
   void CheckShard(const std::string& aShard);
 
-  LeaseWorldSettings mSettings;
+  LeaseSimulationSettings mSettings;
   std::mt19937_64 mRandom;
   MemoryTable mTable;
   VirtualTime mNow{ 0 };
   std::uint64_t mNextOrder = 0;
   std::priority_queue<Event> mEvents;
   std::map<std::string, Process> mProcesses;
-  std::set<std::pair<std::string, std::string>> mCutPeers;
-  std::vector<ShardPlace> mPlaces;
-  std::map<std::string, std::uint64_t> mEpochs;
+  std::set<std::pair<std::string, std::string>> mPartitionedPeers;
+  std::vector<ShardPlace> mShardPlaces;
+  std::map<std::string, std::uint64_t> mHighestEpochs;
   bool mOutage = false;
-  std::optional<VirtualTime> mCallTime;
-  /// A process has changed its state. Without that, ownership can only end.
-  bool mChanged = false;
+  std::optional<VirtualTime> mStoreCallTime;
+  /// A process has changed its state since the last check. Without a change,
+  /// ownership can only end, so that no check is needed.
+  bool mStateChanged = false;
   std::string mViolation;
 };
 
--- a/Tests/Measure/MeasureLease.cpp
+++ b/Tests/Measure/MeasureLease.cpp
@@ -1,10 +1,11 @@
-// Counts what the sessions and shards of a number of processes cost the table
-// service, in virtual time.
+// Counts the writes and reads per second that the sessions and shards of a
+// number of processes cause at the table service. It simulates them in virtual
+// time.
 
 #include <cstdio>
 #include <string>
 
-#include <LibLease/LeaseWorld.h>
+#include <LibLease/LeaseSimulation.h>
 
 using namespace paddle;
 
@@ -17,14 +18,14 @@
 void
 Measure(int aProcesses)
 {
-  LeaseWorld world(LeaseWorldSettings{});
+  LeaseSimulation simulation(LeaseSimulationSettings{});
   for (int i = 0; i < aProcesses; ++i) {
-    world.Start("m" + std::to_string(i), "dc-" + std::to_string(i % 3));
+    simulation.Start("m" + std::to_string(i), "dc-" + std::to_string(i % 3));
   }
-  world.RunFor(kSettleTime);
-  const TableCounters before = world.Counters();
-  world.RunFor(kMeasuredTime);
-  const TableCounters after = world.Counters();
+  simulation.RunFor(kSettleTime);
+  const TableCounters before = simulation.Counters();
+  simulation.RunFor(kMeasuredTime);
+  const TableCounters after = simulation.Counters();
   const auto perSecond = [](std::uint64_t aBefore, std::uint64_t aAfter) {
     return static_cast<double>(aAfter - aBefore) /
            static_cast<double>(kMeasuredTime.count());
