--- a/Libraries/LibDispatch/Actions.h
+++ b/Libraries/LibDispatch/Actions.h
@@ -27,13 +27,14 @@
   std::int64_t mRun = 0;
 };
 
-/// Order to a runner to throttle a run to a share of its full speed.
+/// Order to a runner to change the pace of a run: the percentage of its full
+/// speed to which the run is throttled.
 struct PaceTask
 {
   RunnerIndex mRunner = kNoRunner;
   TaskName mTask;
   std::int64_t mRun = 0;
-  std::uint8_t mPercent = 100;
+  std::uint8_t mPacePercent = 100;
 };
 
 using Action = std::variant<StartTask, StopTask, PaceTask>;
--- a/Libraries/LibDispatch/DispatchSettings.h
+++ b/Libraries/LibDispatch/DispatchSettings.h
@@ -22,8 +22,8 @@
   /// allow for scheduling delays of this process.
   Millis mLeaseExpiryMargin{ 150 };
   /// A stop order whose run has not ended is sent again after this time. A
-  /// regional round trip takes 24 ms, and a stop takes up to 200 to 900 ms,
-  /// depending on the deployment.
+  /// round trip between regions takes 24 ms, and a stop takes at most 200 to
+  /// 900 ms, depending on the deployment.
   Millis mStopRetryInterval{ 700 };
   /// Longest time for which a runner delays its answer to a renewal while it
   /// has nothing new to report. Where best-effort tasks run beside long-running
--- a/Libraries/LibDispatch/Dispatcher.h
+++ b/Libraries/LibDispatch/Dispatcher.h
@@ -61,6 +61,8 @@
   std::uint64_t mJobsCompleted = 0;
   std::uint64_t mJobsFailed = 0;
   std::uint64_t mJobsCancelled = 0;
+  /// Orders that set the pace of a run: the percentage of its full speed to
+  /// which its runner throttles it.
   std::uint64_t mPaceOrders = 0;
   std::uint64_t mQuarantines = 0;
 };
@@ -235,7 +237,8 @@
                    std::int64_t aRun,
                    MonotonicTime aNow);
 
-/// Handles an order of pace that failed, or that may be applied late.
+/// Handles a pace order, which sets the percentage of its full speed to which a
+/// run is throttled, that failed or may be applied late.
 void
 HandlePaceUnconfirmed(Dispatcher& aDispatcher,
                       const TaskName& aTask,
--- a/Libraries/LibDispatch/Internal.h
+++ b/Libraries/LibDispatch/Internal.h
@@ -132,7 +132,9 @@
 void
 ExplainWaiting(Dispatcher& aDispatcher, MonotonicTime aNow);
 
-// Interference of best-effort tasks with long-running tasks.
+// Interference of best-effort tasks with long-running tasks. The dispatcher
+// limits it by the pace of the best-effort tasks: the percentage of its full
+// speed to which the runner throttles a task.
 
 /// Runners report the load of the last half second. A report reflects the start
 /// or the change of pace of a task only after this time.
@@ -235,6 +237,8 @@
            MonotonicTime aNow,
            Actions& aActions);
 
+// Runners and their leases.
+
 /// Handles the restart of a runner: ends the runs of its former process and
 /// resets the state that depends on it.
 void
--- a/Libraries/LibDispatch/Job.h
+++ b/Libraries/LibDispatch/Job.h
@@ -46,8 +46,8 @@
 {
   TaskPhase mPhase = TaskPhase::Waiting;
   StopCause mStopCause = StopCause::None;
-  /// Share of its full speed to which the runner was last ordered to throttle
-  /// the task.
+  /// Pace of the task: the percentage of its full speed to which the runner was
+  /// last ordered to throttle it.
   std::uint8_t mPacePercent = 100;
   /// Whether the runner can be assumed to apply mPacePercent. An order may be
   /// lost or applied late, and an earlier owner may have ordered another pace.
--- a/Libraries/LibDispatch/JobSpec.h
+++ b/Libraries/LibDispatch/JobSpec.h
@@ -57,6 +57,8 @@
   /// Number of tasks that may be interrupted at the same time.
   std::uint32_t mMaxInterruptedTasks = 0;
   bool mLimitsInterruptions = false; ///< Whether mMaxInterruptedTasks applies.
+  /// Name of the image that the tasks run. What is learned about interference
+  /// between tasks is kept by image.
   std::string mImage;
   /// Tail latency that a long-running task should keep; 0: none.
   Millis mTailLatencyTarget{ 0 };
--- a/Libraries/LibDispatch/Jobs.cpp
+++ b/Libraries/LibDispatch/Jobs.cpp
@@ -34,8 +34,10 @@
   const QueueSpec* queue = FindQueue(aDispatcher, aJob.mSpec.mQueue);
   const double stretch = queue != nullptr ? queue->mStretch : 1;
   const Millis target = queue != nullptr ? queue->mTargetDuration : Millis(0);
-  const double chain = static_cast<double>(CriticalPath(aJob.mSpec).count());
-  return aBegin + Millis(static_cast<Millis::rep>(chain * stretch)) + target;
+  const double criticalPath =
+    static_cast<double>(CriticalPath(aJob.mSpec).count());
+  return aBegin + Millis(static_cast<Millis::rep>(criticalPath * stretch)) +
+         target;
 }
 
 /// @return an occurrence of which no task has run
@@ -213,14 +215,14 @@
     if (step.mReady) {
       continue;
     }
-    const std::vector<std::uint32_t>& after =
+    const std::vector<std::uint32_t>& predecessors =
       aJob.mSpec.mSteps[i].mPredecessors;
-    const bool open =
-      std::all_of(after.begin(), after.end(), [&](std::uint32_t aBefore) {
+    const bool ready = std::all_of(
+      predecessors.begin(), predecessors.end(), [&](std::uint32_t aBefore) {
         const Step& before = occurrence.mSteps[aBefore];
         return before.mDoneTasks == before.mTasks.size();
       });
-    if (!open) {
+    if (!ready) {
       continue;
     }
     step.mReady = true;
--- a/Libraries/LibDispatch/Pacing.cpp
+++ b/Libraries/LibDispatch/Pacing.cpp
@@ -55,7 +55,8 @@
   return halt;
 }
 
-/// Pace that a task should have.
+/// Pace that a task should have: the percentage of its full speed to which its
+/// runner is to throttle it.
 struct PaceChange
 {
   TaskRef mTask;
--- a/Libraries/LibDispatch/Placing.cpp
+++ b/Libraries/LibDispatch/Placing.cpp
@@ -49,7 +49,7 @@
 /// Multiple of its time objective after which the end of a job is worth
 /// nothing.
 constexpr int kWorthlessAfterObjectives = 3;
-/// Number of steps that are explained at a time.
+/// Largest number of waiting steps that are explained in the log at a time.
 constexpr std::size_t kMaxExplainedSteps = 3;
 /// The log explains only steps that have waited for longer than this.
 constexpr Millis kExplainAfter{ 2500 };
@@ -191,11 +191,11 @@
   if (aRunner.mLongRunningTasks > 0) {
     return cost;
   }
-  const double open =
+  const double freeShare =
     1 - static_cast<double>(aDispatcher.mLongRunningRunnerCount) /
           std::max(1.0, static_cast<double>(aDispatcher.mListedRunnerCount));
-  return cost + (open > kMinShareWithoutLongRunning ? kNewServingRunnerCost
-                                                    : kLastFreeRunnerCost);
+  return cost + (freeShare > kMinShareWithoutLongRunning ? kNewServingRunnerCost
+                                                         : kLastFreeRunnerCost);
 }
 
 /// Cost of a runner for a task, or the reason why it can't take the task.
@@ -247,9 +247,9 @@
   if (runner.mSpec.mService != aService) {
     return Obstacle::OtherService;
   }
-  if (const Obstacle closed = ObstacleOfRunner(aDispatcher, runner, aNow);
-      closed != Obstacle::None) {
-    return closed;
+  if (const Obstacle obstacle = ObstacleOfRunner(aDispatcher, runner, aNow);
+      obstacle != Obstacle::None) {
+    return obstacle;
   }
   if (!spec.mRequiredLabel.empty() && !HasLabel(runner, spec.mRequiredLabel)) {
     return Obstacle::Label;
@@ -383,7 +383,7 @@
     });
   std::vector<WaitingStep> ordered;
   ordered.reserve(waiting.size());
-  for (const auto& [reach, index] : order) {
+  for (const auto& [outlook, index] : order) {
     ordered.push_back(waiting[index]);
   }
   return ordered;
@@ -444,14 +444,14 @@
 std::vector<RunnerIndex>
 AvailableRunners(const Dispatcher& aDispatcher, MonotonicTime aNow)
 {
-  std::vector<RunnerIndex> open;
+  std::vector<RunnerIndex> available;
   for (RunnerIndex i = 0; i < aDispatcher.mRunners.size(); ++i) {
     if (ObstacleOfRunner(aDispatcher, aDispatcher.mRunners[i], aNow) ==
         Obstacle::None) {
-      open.push_back(i);
+      available.push_back(i);
     }
   }
-  return open;
+  return available;
 }
 
 /// Steps whose tasks fit on no runner in this pass. Capacity only shrinks
@@ -518,7 +518,7 @@
     SummarizeServingLoad(aDispatcher, aDispatcher.mRunners[index], aNow);
   }
   std::uint32_t started = 0;
-  UnplaceableRequests refusals;
+  UnplaceableRequests unplaceable;
   if (full || aNow - aDispatcher.mPlacementOrderAt >= kOrderInterval) {
     aDispatcher.mPlacementOrder = PlacementOrder(aDispatcher, aNow);
     aDispatcher.mPlacementOrderAt = aNow;
@@ -533,7 +533,7 @@
       continue;
     }
     const StepSpec& spec = job.mSpec.mSteps[entry.mStep];
-    if (refusals.Covers(spec, queue->mService)) {
+    if (unplaceable.Covers(spec, queue->mService)) {
       continue;
     }
     Step& step = StepOf(entry);
@@ -553,7 +553,7 @@
         const RunnerIndex runner =
           ChooseRunner(aDispatcher, candidates, ref, queue->mService, aNow);
         if (runner == kNoRunner) {
-          refusals.Add(spec, queue->mService);
+          unplaceable.Add(spec, queue->mService);
           break;
         }
         Start(aDispatcher, ref, runner, aDispatcher.mNextRun++, aNow, aActions);
--- a/Libraries/LibDispatch/Reports.cpp
+++ b/Libraries/LibDispatch/Reports.cpp
@@ -273,7 +273,7 @@
 {
   constexpr int kFullProgressPercent =
     100; // Reported by a long-running task that works.
-  const auto proof = std::find_if(
+  const auto workingTask = std::find_if(
     aRunner.mTasks.begin(), aRunner.mTasks.end(), [&](const TaskRef& aTask) {
       const Task& task = TaskOf(aTask);
       return SpecOf(aTask).mKind == StepKind::LongRunning &&
@@ -283,15 +283,15 @@
              aNow - task.mProgressChangedAt >=
                aDispatcher.mSettings.mProbationTime;
     });
-  if (!aRunner.mOnProbation || proof == aRunner.mTasks.end()) {
+  if (!aRunner.mOnProbation || workingTask == aRunner.mTasks.end()) {
     return;
   }
   UpdateRunnerHealth(
-    aDispatcher, aRunner, proof->mJob->mSpec.mId, RunOutcome::Done, aNow);
+    aDispatcher, aRunner, workingTask->mJob->mSpec.mId, RunOutcome::Done, aNow);
   aDispatcher.mPlacementDue = true;
   Emit(aDispatcher,
        "runner_trusted",
-       proof->mJob,
+       workingTask->mJob,
        "runner=" + aRunner.mSpec.mId + " cause=lasting_task_at_work");
 }
 
@@ -423,10 +423,10 @@
   task.mStopAnsweredAt.reset();
   task.mOverTargetSince.reset();
   task.mProgressPercent = -1;
-  bool durable = false;
+  bool progressChanged = false;
   if (!aCheckpoint.empty() && task.mCheckpoint != aCheckpoint) {
     task.mCheckpoint = aCheckpoint;
-    durable = true;
+    progressChanged = true;
   }
   if (job.mPhase != JobPhase::Active) {
     EraseIfFinished(aDispatcher, job);
@@ -435,7 +435,7 @@
   const bool finite = spec.mKind == StepKind::Finite;
   if (aOutcome == RunOutcome::Done && finite) {
     ++aDispatcher.mCounters.mDone;
-    durable = true;
+    progressChanged = true;
     if (spec.mGang) {
       FinishGang(aDispatcher, aTask, aNow);
     } else {
@@ -445,7 +445,8 @@
     }
   } else if (aOutcome == RunOutcome::Failed && finite) {
     task.mFailedOn = runner;
-    durable = CountFailure(aDispatcher, aTask, aRun, aNow, aActions) || durable;
+    progressChanged =
+      CountFailure(aDispatcher, aTask, aRun, aNow, aActions) || progressChanged;
     if (job.mPhase != JobPhase::Active) {
       return true;
     }
@@ -453,14 +454,14 @@
     ++aDispatcher.mCounters.mStopped;
     task.mFailedOn = aOutcome == RunOutcome::Failed ? runner : kNoRunner;
   }
-  if (durable) {
+  if (progressChanged) {
     MarkDirty(aDispatcher, job);
   }
   UpdateWaiting(aDispatcher, job, aTask.mOccurrence, aTask.mStep);
   if (task.mPhase == TaskPhase::Done) {
     AdvanceJob(aDispatcher, aTask, aNow);
   }
-  return durable;
+  return progressChanged;
 }
 
 void
@@ -549,10 +550,11 @@
     if (end.mNumber <= runner.mHighestAppliedEnd) {
       continue;
     }
-    const bool durable = ApplyEnd(aDispatcher, aRunner, end, aNow, aActions);
+    const bool progressChanged =
+      ApplyEnd(aDispatcher, aRunner, end, aNow, aActions);
     runner.mHighestAppliedEnd = end.mNumber;
     runner.mUnstoredEnds.emplace_back(
-      end.mNumber, durable ? aDispatcher.mCommitSequence : 0);
+      end.mNumber, progressChanged ? aDispatcher.mCommitSequence : 0);
   }
   AcknowledgeStored(aDispatcher, runner);
 
--- a/Libraries/LibDispatch/Runner.h
+++ b/Libraries/LibDispatch/Runner.h
@@ -87,7 +87,9 @@
 };
 
 /// Load of the tasks of one serving step on a runner, which limits the
-/// best-effort tasks beside them. All numbers are utilizations from 0 to 1.
+/// best-effort tasks beside them. The owner limits a best-effort task by its
+/// pace, the percentage of its full speed to which the runner throttles it. All
+/// numbers are utilizations from 0 to 1.
 struct ServingStepLoad
 {
   Step* mStep = nullptr;
@@ -183,7 +185,8 @@
 
   std::vector<OrphanRun> mOrphans;
 
-  MonotonicTime mPaceChangedAt;     ///< When a task's pace last changed.
+  /// When the owner last changed the throttling percentage of a task here.
+  MonotonicTime mPaceChangedAt;
   MonotonicTime mBestEffortEndedAt; ///< When a best-effort task last ended.
   /// When interference was last learned from its tail latencies.
   MonotonicTime mTailsLearnedAt;
--- a/Libraries/LibDispatch/Runners.cpp
+++ b/Libraries/LibDispatch/Runners.cpp
@@ -66,11 +66,11 @@
   std::vector<TaskRef> unanswered;
   for (const TaskRef& ref : std::vector<TaskRef>(runner.mTasks)) {
     const Task& task = TaskOf(ref);
-    const bool open =
+    const bool startUnanswered =
       task.mPhase == TaskPhase::Starting ||
       (task.mPhase == TaskPhase::Stopping &&
        task.mStopCause == StopCause::StartUnanswered && !task.mStopAnsweredAt);
-    if (open) {
+    if (startUnanswered) {
       unanswered.push_back(ref);
       continue;
     }
@@ -165,10 +165,10 @@
     if (!runner.mPossibleRuns || !runner.mInherited) {
       continue;
     }
-    const std::vector<PossibleRun> held = std::move(*runner.mPossibleRuns);
+    const std::vector<PossibleRun> runs = std::move(*runner.mPossibleRuns);
     runner.mPossibleRuns.reset();
     runner.mInherited = false;
-    for (const PossibleRun& run : held) {
+    for (const PossibleRun& run : runs) {
       const TaskRef ref = FindTask(aDispatcher, run.mTask);
       if (ref.mJob != nullptr) {
         AdoptRun(aDispatcher, index, ref, run.mRun, aNow);
@@ -205,11 +205,11 @@
 std::vector<PossibleRun>
 PossibleRuns(const Dispatcher& aDispatcher, RunnerIndex aRunner)
 {
-  std::vector<PossibleRun> held;
+  std::vector<PossibleRun> runs;
   for (const TaskRef& ref : aDispatcher.mRunners[aRunner].mTasks) {
-    held.push_back({ NameOf(ref), TaskOf(ref).mRun });
+    runs.push_back({ NameOf(ref), TaskOf(ref).mRun });
   }
-  return held;
+  return runs;
 }
 
 bool
--- a/Libraries/LibNode/ClientFrontEnd.cpp
+++ b/Libraries/LibNode/ClientFrontEnd.cpp
@@ -95,7 +95,7 @@
   if (mView.mShardCount == 0) {
     return {};
   }
-  const bool leftover =
+  const bool bestEffort =
     !aJob.mSteps.empty() &&
     aJob.mSteps[0].mReservation == dispatch::Reservation::BestEffort;
   for (std::uint64_t choice = 0; choice < 2; ++choice) {
@@ -107,9 +107,10 @@
     }
     const ShardRow& known = row->second.mRow;
     const auto total =
-      static_cast<double>(std::max<std::int64_t>(1, known.mTotalCores));
+      static_cast<double>(std::max<std::int64_t>(1, known.mTotalMilliCores));
     const double freeShare =
-      static_cast<double>(leftover ? known.mLeftoverCores : known.mFreeCores) /
+      static_cast<double>(bestEffort ? known.mBestEffortMilliCores
+                                     : known.mFreeMilliCores) /
       total;
     if (!best || freeShare > bestFreeShare) {
       best = shard;
--- a/Libraries/LibNode/Cluster.cpp
+++ b/Libraries/LibNode/Cluster.cpp
@@ -182,9 +182,9 @@
   value["incarnation"] = Json::Int64(aRow.mOwnerIncarnation);
   value["epoch"] = Json::Int64(aRow.mEpoch);
   value["beat"] = Json::UInt64(aRow.mHeartbeatCount);
-  value["free"] = Json::Int64(aRow.mFreeCores);
-  value["leftover"] = Json::Int64(aRow.mLeftoverCores);
-  value["total"] = Json::Int64(aRow.mTotalCores);
+  value["free"] = Json::Int64(aRow.mFreeMilliCores);
+  value["leftover"] = Json::Int64(aRow.mBestEffortMilliCores);
+  value["total"] = Json::Int64(aRow.mTotalMilliCores);
   Json::Value pending(Json::objectValue);
   for (const auto& [queue, count] : aRow.mPending) {
     pending[queue] = Json::UInt64(count);
@@ -206,9 +206,9 @@
   row.mOwnerIncarnation = (*value)["incarnation"].asInt64();
   row.mEpoch = (*value)["epoch"].asInt64();
   row.mHeartbeatCount = (*value)["beat"].asUInt64();
-  row.mFreeCores = (*value)["free"].asInt64();
-  row.mLeftoverCores = (*value)["leftover"].asInt64();
-  row.mTotalCores = (*value)["total"].asInt64();
+  row.mFreeMilliCores = (*value)["free"].asInt64();
+  row.mBestEffortMilliCores = (*value)["leftover"].asInt64();
+  row.mTotalMilliCores = (*value)["total"].asInt64();
   const Json::Value& pending = (*value)["pending"];
   if (pending.isObject()) {
     for (const std::string& queue : pending.getMemberNames()) {
@@ -341,7 +341,7 @@
         claimableFrom =
           std::max(claimableFrom, aView.mOwnHeartbeatsStoredSince) +
           aSettings.mOwnerTimeout + 2 * aView.mShardReadDuration;
-        claim.mFormerOwnerMayBeAlive = true;
+        claim.mEarlierOwnerMayAct = true;
       }
     }
     if (IsSmallNode(aView, shard, aSelf, aSettings)) {
--- a/Libraries/LibNode/Cluster.h
+++ b/Libraries/LibNode/Cluster.h
@@ -41,19 +41,20 @@
 {
   std::uint32_t mShard = 0;
   /// Name of the owning node. Empty: the last owner has released the shard and
-  /// has no request to a runner in flight.
+  /// has no order to a runner in flight.
   std::string mOwner;
   std::int64_t mOwnerIncarnation = 0;
-  /// Rises with each change of owner; it is the fencing token of all requests
-  /// to the shard's runners.
+  /// Rises with each change of owner; it is the fencing token of all orders to
+  /// the shard's runners.
   std::int64_t mEpoch = 0;
   /// Rises with each renewal, so that each one changes the row.
   std::uint64_t mHeartbeatCount = 0;
-  /// Free capacity of the shard's runners for tasks with a reservation.
-  std::int64_t mFreeCores = 0;
-  /// Free capacity of the shard's runners for tasks without a reservation.
-  std::int64_t mLeftoverCores = 0;
-  std::int64_t mTotalCores = 0;
+  /// Processors of the shard's runners that no task reserves.
+  std::int64_t mFreeMilliCores = 0;
+  /// Processors that further best-effort tasks may use: those that no task
+  /// reserves or that the tasks with a reservation leave idle.
+  std::int64_t mBestEffortMilliCores = 0;
+  std::int64_t mTotalMilliCores = 0; ///< All processors of the runners.
   /// Number of accepted jobs of which no task has started, by queue.
   std::map<std::string, std::uint64_t> mPending;
 };
@@ -123,10 +124,10 @@
   /// an owner.
   std::int64_t mRowVersion = 0;
   std::int64_t mEpoch = 0; ///< Epoch of the new owner.
-  /// The former owner may still send requests to runners until its lease ends.
-  bool mFormerOwnerMayBeAlive = false;
-  /// The former owner's count of waiting jobs by queue. The new owner publishes
-  /// it until it has read the jobs itself.
+  /// The earlier owner may still send orders to runners until its lease ends.
+  bool mEarlierOwnerMayAct = false;
+  /// The earlier owner's count of waiting jobs by queue. The new owner
+  /// publishes it until it has read the jobs itself.
   std::map<std::string, std::uint64_t> mPending;
 };
 
--- a/Libraries/LibNode/DirectoryPort.h
+++ b/Libraries/LibNode/DirectoryPort.h
@@ -54,7 +54,7 @@
   /// Calls its handler at the next change, or after some time without a change.
   std::function<void(std::function<void(std::optional<OperatorState>)>)>
     mReadOperatorState;
-  /// Reads the list of all runners, of every shard.
+  /// Reads the list of all runners, of every shard, from service discovery.
   std::function<void(
     std::function<void(std::optional<std::vector<dispatch::RunnerSpec>>)>)>
     mReadRunners;
--- a/Libraries/LibNode/InterferenceRow.cpp
+++ b/Libraries/LibNode/InterferenceRow.cpp
@@ -70,8 +70,8 @@
   if (!effects.isObject()) {
     return record;
   }
-  for (const std::string& disturbing : effects.getMemberNames()) {
-    const Json::Value& row = effects[disturbing];
+  for (const std::string& interfering : effects.getMemberNames()) {
+    const Json::Value& row = effects[interfering];
     if (!row.isObject()) {
       continue;
     }
@@ -79,7 +79,7 @@
       const Json::Value& entry = row[serving];
       if (entry.isArray() && entry.size() == 2 && IsStoredNumber(entry[0]) &&
           IsStoredNumber(entry[1])) {
-        record.mEffects.push_back({ disturbing,
+        record.mEffects.push_back({ interfering,
                                     serving,
                                     FromThousandths(entry[0]),
                                     FromThousandths(entry[1]) });
--- a/Libraries/LibNode/InterferenceRow.h
+++ b/Libraries/LibNode/InterferenceRow.h
@@ -8,8 +8,7 @@
 namespace paddle {
 
 /// Formats the store row in which a shard's owner keeps its estimates of the
-/// interference between task images, so that the next owner starts from
-/// them.
+/// interference between images, so that the next owner starts from them.
 /// @return the text of the row, as JSON
 std::string
 FormatInterference(const dispatch::InterferenceRecord& aRecord);
--- a/Libraries/LibNode/JobRows.cpp
+++ b/Libraries/LibNode/JobRows.cpp
@@ -286,12 +286,12 @@
     entry.append(runner.mSpec.mRack);
     entry.append(Json::Int64(runner.mSpec.mIncarnation));
     if (runner.mPossibleRuns) {
-      Json::Value held(Json::arrayValue);
+      Json::Value runs(Json::arrayValue);
       for (const dispatch::PossibleRun& run : *runner.mPossibleRuns) {
-        held.append(dispatch::FormatTaskName(run.mTask));
-        held.append(Json::Int64(run.mRun));
+        runs.append(dispatch::FormatTaskName(run.mTask));
+        runs.append(Json::Int64(run.mRun));
       }
-      entry.append(held);
+      entry.append(runs);
     }
     value[runner.mSpec.mId] = entry;
   }
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -53,12 +53,16 @@
   /// Renews the leases of all shards that this node owns in one transaction,
   /// and releases those that it has finished stepping down from.
   void RenewShards(MonotonicTime aNow);
+  /// Handles the result of the transaction that RenewShards() has sent.
+  /// @param aSentAt when it was sent
   void HandleRenewal(const TransactionOutcome& aOutcome,
                      const std::vector<RenewedShard>& aShards,
                      MonotonicTime aSentAt);
   void ReadNodes();
   void ReadShards();
+  /// Reads what the operator publishes, and passes it on to the owned shards.
   void ReadOperator();
+  /// Reads the list of runners, and passes it on to the owned shards.
   void ReadRunners();
   /// Chooses the number of shards and stores it, if no node has done so.
   void CreateLayout();
--- a/Libraries/LibNode/NodeContext.h
+++ b/Libraries/LibNode/NodeContext.h
@@ -37,7 +37,7 @@
   /// it sent the last renewal that was stored. It lasts through a store outage
   /// of nine seconds that begins just before a renewal.
   Millis mShardLeaseDuration{ 12000 };
-  /// A new owner waits at most this long for the answers of the former owner's
+  /// A new owner waits at most this long for the answers of the earlier owner's
   /// runners to its first renewal, which fences them. It is several times the
   /// longest round trip of 24 ms.
   Millis mFencingTimeout{ 300 };
--- a/Libraries/LibNode/RunnerPort.h
+++ b/Libraries/LibNode/RunnerPort.h
@@ -9,19 +9,20 @@
 
 namespace paddle {
 
-/// The runner to which a request is sent.
+/// The runner to which an order is sent.
 struct RunnerTarget
 {
   std::string mAddress;
   /// The runner's id. If another runner is at the address by now, it rejects
-  /// the request.
+  /// the order.
   std::string mId;
 };
 
-/// Renews the lease of a runner and asks which tasks run and which have ended.
-struct RenewalRequest
+/// Order that renews the lease of a runner and asks which tasks run and which
+/// have ended.
+struct RenewalOrder
 {
-  /// Epoch of the shard's owner. A runner rejects requests with a lower token
+  /// Epoch of the shard's owner. A runner rejects orders with a lower token
   /// than the highest it has seen.
   std::int64_t mFencingToken = 0;
   /// Number of the last ended run that the owner has stored; the runner need
@@ -29,24 +30,24 @@
   std::int64_t mAcknowledgedEnd = 0;
   std::int64_t mLeaseEndMs = 0; ///< On the runner's clock; 0: no lease.
   /// The runner answers when a run ends, but at the latest after this time.
-  Millis mWait{ 0 };
+  Millis mLongPollTimeout{ 0 };
 };
 
-/// The result of a request to a runner.
+/// The result of an order to a runner.
 enum class RunnerResult
 {
   Done,
-  Fenced,      ///< The runner has seen a request of a later owner.
+  Fenced,      ///< The runner has seen an order of a later owner.
   WrongRunner, ///< The process at the address is not the runner named.
   /// The run number is not above that of a run of the task that ended there.
   OldRunNumber,
-  LeaseAlreadyEnded, ///< The lease in the request had ended on arrival.
+  LeaseAlreadyEnded, ///< The lease in the order had ended on arrival.
   NotEnoughCapacity, ///< The runner lacks free capacity for the task.
   TicketRejected,    ///< The runner did not accept the ticket of a start.
   Unhealthy,         ///< The runner refuses work and has done nothing.
-  Invalid,           ///< The runner rejects the request as malformed.
-  NotSent,           ///< The request did not leave this process.
-  /// There was no answer; the runner may act on the request, even later.
+  Invalid,           ///< The runner rejects the order as malformed.
+  NotSent,           ///< The order did not leave this process.
+  /// There was no answer; the runner may act on the order, even later.
   Unknown
 };
 
@@ -57,12 +58,12 @@
   dispatch::RunnerReport mReport;
 };
 
-/// Starts a run of a task.
-struct StartRequest
+/// Order to start a run of a task.
+struct StartOrder
 {
-  std::string mTask;
-  std::int64_t mRun = 0; ///< Run numbers of a task rise with each start.
-  std::string mPayload;
+  std::string mTask;            ///< Name of the task, see FormatTaskName().
+  std::int64_t mRun = 0;        ///< Run numbers of a task rise with each start.
+  std::string mPayload;         ///< See JobSpec::mPayload.
   std::int64_t mLeaseEndMs = 0; ///< On the runner's clock.
   std::int64_t mFencingToken = 0;
   /// Checkpoint from which the run resumes; empty: it starts from the
@@ -71,35 +72,36 @@
   std::string mStartTicket;
 };
 
-/// Stops or throttles a run.
-struct RunChangeRequest
+/// Order to stop a run or to set its pace.
+struct RunChangeOrder
 {
   std::string mTask;
   std::int64_t mRun = 0;
   std::int64_t mFencingToken = 0;
-  /// Speed at which the run may go on, in percent; only for throttling.
-  std::int32_t mPercent = 0;
+  /// Pace of the run: the percentage of its full speed to which the runner is
+  /// to throttle it. An order to stop does not use it.
+  std::int32_t mPacePercent = 0;
 };
 
-/// The requests to runners. Each function calls its handler exactly once, after
+/// The orders to runners. Each function calls its handler exactly once, after
 /// it has returned.
 struct RunnerPort
 {
   std::function<void(const RunnerTarget&,
-                     RenewalRequest,
+                     RenewalOrder,
                      std::function<void(RenewalOutcome)>)>
     mRenew;
   std::function<
-    void(const RunnerTarget&, StartRequest, std::function<void(RunnerResult)>)>
+    void(const RunnerTarget&, StartOrder, std::function<void(RunnerResult)>)>
     mStart;
   std::function<void(const RunnerTarget&,
-                     RunChangeRequest,
+                     RunChangeOrder,
                      std::function<void(RunnerResult)>)>
     mStop;
   std::function<void(const RunnerTarget&,
-                     RunChangeRequest,
+                     RunChangeOrder,
                      std::function<void(RunnerResult)>)>
-    mThrottle;
+    mSetPace;
 };
 
 } // namespace paddle
--- a/Libraries/LibNode/ShardCommits.cpp
+++ b/Libraries/LibNode/ShardCommits.cpp
@@ -242,15 +242,15 @@
         runner.mPhase == dispatch::RunnerPhase::LeaseExpired) {
       continue; // The runner is not listed any more and can't run any task.
     }
-    dispatch::InheritedRunner former{ runner.mSpec, {} };
+    dispatch::InheritedRunner entry{ runner.mSpec, {} };
     if (dispatch::ShouldStoreRecord(mDispatcher, i, now)) {
       // From now on the dispatcher starts no task there, so that the record
       // stays complete.
       runner.mRecordStored = true;
       runner.mRecordedRunCount = runner.mTasks.size();
-      former.mPossibleRuns = dispatch::PossibleRuns(mDispatcher, i);
+      entry.mPossibleRuns = dispatch::PossibleRuns(mDispatcher, i);
     }
-    mRunnersBeingStored.push_back(std::move(former));
+    mRunnersBeingStored.push_back(std::move(entry));
   }
   for (const dispatch::RunnerSpec& spec : mShardRunners) {
     if (!known.contains(spec.mId)) {
@@ -272,10 +272,10 @@
 {
   mStoringRunners = false;
   mStoredRunners.clear();
-  for (const dispatch::InheritedRunner& former : mRunnersBeingStored) {
-    mStoredRunners.insert(former.mSpec.mId);
-    const auto index = mDispatcher.mRunnerById.find(former.mSpec.mId);
-    if (!former.mPossibleRuns && index != mDispatcher.mRunnerById.end()) {
+  for (const dispatch::InheritedRunner& entry : mRunnersBeingStored) {
+    mStoredRunners.insert(entry.mSpec.mId);
+    const auto index = mDispatcher.mRunnerById.find(entry.mSpec.mId);
+    if (!entry.mPossibleRuns && index != mDispatcher.mRunnerById.end()) {
       mDispatcher.mRunners[index->second].mRecordStored = false;
     }
   }
--- a/Libraries/LibNode/ShardOwner.cpp
+++ b/Libraries/LibNode/ShardOwner.cpp
@@ -24,7 +24,7 @@
   mDispatcher.mSettings = aContext.mSettings.mDispatch;
   mDispatcher.mEpoch = aClaim.mEpoch;
   // Run numbers start from the epoch, so that those of a new owner are higher
-  // than those of all former owners without a counter in the store.
+  // than those of all earlier owners without a counter in the store.
   constexpr int kRunsPerEpochBits = 20;
   mDispatcher.mNextRun = (aClaim.mEpoch << kRunsPerEpochBits) + 1;
 }
@@ -110,9 +110,9 @@
   row.mHeartbeatCount = ++state.mHeartbeatCount;
   const dispatch::ShardCapacity capacity =
     dispatch::AvailableCapacity(state.mDispatcher, aNow);
-  row.mFreeCores = capacity.mFreeMilliCores;
-  row.mLeftoverCores = capacity.mBestEffortMilliCores;
-  row.mTotalCores = capacity.mTotalMilliCores;
+  row.mFreeMilliCores = capacity.mFreeMilliCores;
+  row.mBestEffortMilliCores = capacity.mBestEffortMilliCores;
+  row.mTotalMilliCores = capacity.mTotalMilliCores;
   if (state.mStage != ShardStage::Serving) {
     row.mPending = state.mClaim.mPending;
     return row;
--- a/Libraries/LibNode/ShardOwner.h
+++ b/Libraries/LibNode/ShardOwner.h
@@ -15,7 +15,7 @@
 namespace paddle {
 
 /// The owner's work for one shard: claims the shard, reads its state, renews
-/// the leases of its runners, sends them the requests that the dispatcher
+/// the leases of its runners, sends them the orders that the dispatcher
 /// decides on, and stores progress.
 class ShardOwner
 {
@@ -62,7 +62,7 @@
   /// Does everything that is due.
   void Tick(MonotonicTime aNow);
 
-  /// From now on sends no more requests to runners. Progress that is not stored
+  /// From now on sends no more orders to runners. Progress that is not stored
   /// yet is still stored; after that, the next renewal releases the shard.
   void StepDown();
   /// @return whether this node owns the shard and has read its state
--- a/Libraries/LibNode/ShardRunners.cpp
+++ b/Libraries/LibNode/ShardRunners.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 /// Delay before the renewal of a runner that did not answer is repeated. It
-/// doubles with each failure up to kLongestBackoff.
-constexpr Millis kFirstBackoff{ 100 };
-constexpr Millis kLongestBackoff{ 800 };
+/// doubles with each failure up to kLongestBackOff.
+constexpr Millis kFirstBackOff{ 100 };
+constexpr Millis kLongestBackOff{ 800 };
 /// Delay before the next renewal if the last was answered early although no run
 /// had ended, so that renewals are not repeated in a tight loop.
 constexpr Millis kEarlyAnswerDelay{ 40 };
@@ -69,27 +69,27 @@
   renewal.mSentAt = aNow;
   const dispatch::RenewalPlan plan =
     dispatch::PlanRenewal(mDispatcher, aRunner, aNow);
-  const RenewalRequest request{ mDispatcher.mEpoch,
-                                plan.mAcknowledgedEnd,
-                                plan.mLeaseEndMs,
-                                plan.mLongPollTimeout };
+  const RenewalOrder order{ mDispatcher.mEpoch,
+                            plan.mAcknowledgedEnd,
+                            plan.mLeaseEndMs,
+                            plan.mLongPollTimeout };
   auto self = shared_from_this();
-  mContext.mRunners.mRenew(TargetOf(aRunner),
-                           request,
-                           [self, aRunner, aNow, wait = plan.mLongPollTimeout](
-                             const RenewalOutcome& aOutcome) {
-                             if (!self->mOwnershipLost) {
-                               self->HandleRenewal(
-                                 aRunner, aOutcome, aNow, wait);
-                             }
-                           });
+  mContext.mRunners.mRenew(
+    TargetOf(aRunner),
+    order,
+    [self, aRunner, aNow, longPollTimeout = plan.mLongPollTimeout](
+      const RenewalOutcome& aOutcome) {
+      if (!self->mOwnershipLost) {
+        self->HandleRenewal(aRunner, aOutcome, aNow, longPollTimeout);
+      }
+    });
 }
 
 void
 ShardOwner::State::HandleRenewal(dispatch::RunnerIndex aRunner,
                                  const RenewalOutcome& aOutcome,
                                  MonotonicTime aSentAt,
-                                 Millis aWait)
+                                 Millis aLongPollTimeout)
 {
   const MonotonicTime now = mContext.Now();
   RunnerRenewal& renewal = RenewalOf(aRunner);
@@ -100,16 +100,16 @@
   }
   if (aOutcome.mResult != RunnerResult::Done) {
     dispatch::HandleNoReport(mDispatcher, aRunner, now);
-    renewal.mBackoff =
-      std::clamp(renewal.mBackoff * 2, kFirstBackoff, kLongestBackoff);
-    renewal.mNextRenewalAt = now + renewal.mBackoff;
+    renewal.mBackOff =
+      std::clamp(renewal.mBackOff * 2, kFirstBackOff, kLongestBackOff);
+    renewal.mNextRenewalAt = now + renewal.mBackOff;
     return;
   }
-  renewal.mBackoff = Millis(0);
+  renewal.mBackOff = Millis(0);
   renewal.mAnswered = true;
   if (mStage != ShardStage::Serving) {
-    // By answering, the runner shows that it rejects the former owner's
-    // requests from now on. Its report is read again once the jobs are known.
+    // By answering, the runner shows that it rejects the earlier owner's
+    // orders from now on. Its report is read again once the jobs are known.
     renewal.mNextRenewalAt = now;
     if (mStage == ShardStage::Fencing &&
         std::all_of(
@@ -147,7 +147,7 @@
   }
   renewal.mAwaitsCommit = false;
   // A renewal of a runner without tasks is answered at once.
-  const bool early = !mayRunTasks || now - aSentAt < aWait / 2;
+  const bool early = !mayRunTasks || now - aSentAt < aLongPollTimeout / 2;
   renewal.mNextRenewalAt =
     early && !newEnds && !renewal.mRenewAgain ? now + kEarlyAnswerDelay : now;
   if (renewal.mNextRenewalAt <= now && MayCommandRunners(now)) {
@@ -182,7 +182,7 @@
     } else if (const auto* stop = std::get_if<dispatch::StopTask>(&action)) {
       PerformStop(*stop);
     } else if (const auto* pace = std::get_if<dispatch::PaceTask>(&action)) {
-      PerformThrottle(*pace);
+      PerformPace(*pace);
     }
   }
 }
@@ -194,18 +194,18 @@
   const dispatch::TaskName name = dispatch::NameOf(ref);
   const std::string text = dispatch::FormatTaskName(name);
   const dispatch::Task& task = dispatch::TaskOf(ref);
-  StartRequest request{ text,
-                        aStart.mRun,
-                        ref.mJob->mSpec.mPayload,
-                        aStart.mLeaseEndMs,
-                        mDispatcher.mEpoch,
-                        task.mCheckpoint,
-                        {} };
+  StartOrder order{ text,
+                    aStart.mRun,
+                    ref.mJob->mSpec.mPayload,
+                    aStart.mLeaseEndMs,
+                    mDispatcher.mEpoch,
+                    task.mCheckpoint,
+                    {} };
   const MonotonicTime sentAt = mContext.Now();
   auto self = shared_from_this();
   mContext.mRunners.mStart(
     TargetOf(aStart.mRunner),
-    std::move(request),
+    std::move(order),
     [self, name, text, run = aStart.mRun, index = aStart.mRunner, sentAt](
       RunnerResult aResult) {
       if (self->mOwnershipLost) {
@@ -240,7 +240,7 @@
       self->PerformActions(actions);
     });
   // The end of the run must be seen at once, so the runner is renewed now. If a
-  // renewal is in flight already, its answer comes within its wait.
+  // renewal is in flight already, its answer comes within its long poll.
   RunnerRenewal& renewal = RenewalOf(aStart.mRunner);
   if (!renewal.mInFlight) {
     renewal.mNextRenewalAt = sentAt;
@@ -282,15 +282,15 @@
 }
 
 void
-ShardOwner::State::PerformThrottle(const dispatch::PaceTask& aPace)
+ShardOwner::State::PerformPace(const dispatch::PaceTask& aPace)
 {
   auto self = shared_from_this();
-  mContext.mRunners.mThrottle(
+  mContext.mRunners.mSetPace(
     TargetOf(aPace.mRunner),
     { dispatch::FormatTaskName(aPace.mTask),
       aPace.mRun,
       mDispatcher.mEpoch,
-      aPace.mPercent },
+      aPace.mPacePercent },
     [self, aPace](RunnerResult aResult) {
       if (!self->mOwnershipLost && aResult != RunnerResult::Done) {
         dispatch::HandlePaceUnconfirmed(
--- a/Libraries/LibNode/ShardState.h
+++ b/Libraries/LibNode/ShardState.h
@@ -50,7 +50,7 @@
   /// progress of jobs and the interference estimates.
   ReadingProgress,
   /// Waits for the runners' answers to the first renewals under the new epoch,
-  /// after which they reject the earlier owner's requests.
+  /// after which they reject the earlier owner's orders.
   Fencing,
   ReadingJobs, ///< Reads the accepted jobs and cancellations.
   Serving
@@ -69,7 +69,7 @@
   bool mAwaitsCommit = false;
   MonotonicTime mNextRenewalAt;
   MonotonicTime mSentAt; ///< When the last renewal was sent.
-  Millis mBackoff{ 0 };  ///< Delay after the last failure; 0: none failed.
+  Millis mBackOff{ 0 };  ///< Delay after the last failure; 0: none failed.
 };
 
 /// State of a shard's owner. The handlers of its calls share it, so that it
@@ -112,20 +112,25 @@
   void ApplyRunners();
   /// Sends a lease renewal to a runner.
   void Renew(dispatch::RunnerIndex aRunner, MonotonicTime aNow);
-  /// @param aSentAt when the renewal was sent
-  /// @param aWait   how long the runner was asked to wait for an end
+  /// @param aSentAt          when the renewal was sent
+  /// @param aLongPollTimeout how long the runner could delay its answer
   void HandleRenewal(dispatch::RunnerIndex aRunner,
                      const RenewalOutcome& aOutcome,
                      MonotonicTime aSentAt,
-                     Millis aWait);
+                     Millis aLongPollTimeout);
   /// Renews the runners whose reported ends of runs are stored by now.
   void RenewAfterCommit(MonotonicTime aNow);
-  /// Sends the requests that the dispatcher has decided on, unless this node
+  /// Sends the orders that the dispatcher has decided on, unless this node
   /// may not command the runners any more.
   void PerformActions(dispatch::Actions& aActions);
+  /// Sends an order to start a run, and renews the runner soon, so that the end
+  /// of the run is seen at once.
   void PerformStart(const dispatch::StartTask& aStart);
+  /// Sends an order to stop a run.
   void PerformStop(const dispatch::StopTask& aStop);
-  void PerformThrottle(const dispatch::PaceTask& aPace);
+  /// Sends an order to set the pace of a run: the percentage of its full speed
+  /// to which its runner throttles it.
+  void PerformPace(const dispatch::PaceTask& aPace);
   RunnerTarget TargetOf(dispatch::RunnerIndex aRunner) const;
   RunnerRenewal& RenewalOf(dispatch::RunnerIndex aRunner);
 
@@ -152,7 +157,7 @@
   void Log(LogLevel aLevel, std::string_view aEvent, std::string_view aFields);
   /// Ends all work on the shard, because this node no longer owns it.
   void LoseOwnership(std::string_view aReason);
-  /// @return whether this node may send requests to the runners: it holds the
+  /// @return whether this node may send orders to the runners: it holds the
   ///         shard's lease and is not stepping down
   [[nodiscard]] bool MayCommandRunners(MonotonicTime aNow) const;
 
@@ -177,7 +182,7 @@
   /// Progress by job id, as the earlier owner stored it.
   std::unordered_map<std::string, std::string> mStoredProgress;
   /// Runners that the earlier owner used.
-  std::vector<dispatch::InheritedRunner> mFormerRunners;
+  std::vector<dispatch::InheritedRunner> mInheritedRunners;
   std::vector<StoreRow> mInboxRows; ///< Rows of the present full read.
   /// Partitions that the present full read of the inbox has not finished.
   std::uint32_t mInboxPartitionsLeft = 0;
@@ -186,7 +191,7 @@
 
   /// Version of the commit sequence row. Every transaction on this shard's
   /// progress checks this version and replaces the row, so that a delayed
-  /// transaction of a former owner, or an older one of this node, never
+  /// transaction of an earlier owner, or an older one of this node, never
   /// applies.
   std::int64_t mSequenceRowVersion = 0;
   /// Number of the last transaction that is known to be stored.
--- a/Libraries/LibNode/ShardTaking.cpp
+++ b/Libraries/LibNode/ShardTaking.cpp
@@ -50,8 +50,8 @@
       self->mStage = ShardStage::ReadingProgress;
       self->Log(LogLevel::Notice,
                 "shard_claimed",
-                self->mClaim.mFormerOwnerMayBeAlive ? "former_owner=maybe_alive"
-                                                    : "former_owner=gone");
+                self->mClaim.mEarlierOwnerMayAct ? "former_owner=maybe_alive"
+                                                 : "former_owner=gone");
       self->ReadProgress({});
     });
 }
@@ -80,7 +80,7 @@
       for (StoreRow& row : aRead.mRows) {
         const std::string_view key = row.mKey;
         if (key == kRunnersKey) {
-          self->mFormerRunners = ParseRunners(row.mValue);
+          self->mInheritedRunners = ParseRunners(row.mValue);
         } else if (key == kInterferenceKey) {
           dispatch::Adopt(self->mDispatcher.mInterference,
                           ParseInterference(row.mValue),
@@ -103,24 +103,25 @@
 ShardOwner::State::BeginFencing(MonotonicTime aNow)
 {
   const NodeSettings& settings = mContext.mSettings;
-  for (const dispatch::InheritedRunner& runner : mFormerRunners) {
+  for (const dispatch::InheritedRunner& runner : mInheritedRunners) {
     dispatch::AddInheritedRunner(mDispatcher, runner, aNow);
     mStoredRunners.insert(runner.mSpec.mId);
   }
-  mFormerRunners.clear();
-  // The last lease that the former owner granted to a runner has certainly
-  // ended when the former owner's lease on the shard and then the longest lease
-  // of a runner are over. Until then, unreachable runners may still run tasks.
-  Millis unheardWait = settings.mDispatch.mLeaseExpiryMargin;
+  mInheritedRunners.clear();
+  // The last lease that the earlier owner granted to a runner has certainly
+  // ended when the earlier owner's lease on the shard and then the longest
+  // lease of a runner are over. Until then, unreachable runners may still run
+  // tasks.
+  Millis leaseWait = settings.mDispatch.mLeaseExpiryMargin;
   if (!mDispatcher.mRunners.empty()) {
-    unheardWait += Millis(static_cast<Millis::rep>(
+    leaseWait += Millis(static_cast<Millis::rep>(
       static_cast<double>(settings.mDispatch.mMaxLease.count()) *
       settings.mDispatch.mClockDriftFactor));
-    if (mClaim.mFormerOwnerMayBeAlive) {
-      unheardWait += settings.mShardLeaseDuration;
+    if (mClaim.mEarlierOwnerMayAct) {
+      leaseWait += settings.mShardLeaseDuration;
     }
   }
-  mDispatcher.mEarlierLeasesUntil = aNow + unheardWait;
+  mDispatcher.mEarlierLeasesUntil = aNow + leaseWait;
   mStage = ShardStage::Fencing;
   mFencingEndsAt = aNow + settings.mFencingTimeout;
   for (dispatch::RunnerIndex i = 0; i < mDispatcher.mRunners.size(); ++i) {
--- a/Services/Node/NodeProcess.cpp
+++ b/Services/Node/NodeProcess.cpp
@@ -116,7 +116,8 @@
   mContext.mSelf.mIncarnation = UnixMs();
   mContext.mSelf.mMilliCores = mSettings.mMilliCores;
   mContext.mSettings.mDispatch = mSettings.mDispatch;
-  mContext.mPartitions.mTransactionsSpanPartitions = mSettings.mStoreSpansParts;
+  mContext.mPartitions.mTransactionsSpanPartitions =
+    mSettings.mStoreSpansPartitions;
   mContext.mStore = mStore.Port();
   mContext.mRunners = mRunners.Port();
   mContext.mDirectory = platform::MakeDirectoryPort(
--- a/Tests/LibDispatch/DispatchWorld.cpp
+++ b/Tests/LibDispatch/DispatchWorld.cpp
@@ -60,9 +60,9 @@
   queue.mMaxAttempts = 4;
   queue.mStretch = 2;
   queue.mTargetDuration = Millis(400);
-  mCore.mEpoch = 1;
-  mCore.mRecovered = true;
-  SetQueues(mCore, { &queue, 1 });
+  mDispatcher.mEpoch = 1;
+  mDispatcher.mRecovered = true;
+  SetQueues(mDispatcher, { &queue, 1 });
 }
 
 void
@@ -81,22 +81,22 @@
     spec.mIncarnation = mRunners[spec.mId].mIncarnation;
     mListed.push_back(spec);
   }
-  SetRunners(mCore, mListed, mNow, mActions);
+  SetRunners(mDispatcher, mListed, mNow, mActions);
   Report();
 }
 
 void
 DispatchWorld::TakeOver(std::int64_t aEpoch)
 {
-  const std::vector<QueueSpec> queues{ mCore.mQueues.at("queue") };
-  mCore = Dispatcher{};
+  const std::vector<QueueSpec> queues{ mDispatcher.mQueues.at("queue") };
+  mDispatcher = Dispatcher{};
   mActions.clear();
-  mCore.mEpoch = aEpoch;
-  mCore.mNextRun = (aEpoch << 20) + 1;
-  mCore.mEarlierLeasesUntil = mNow + Seconds(18);
-  SetQueues(mCore, queues);
+  mDispatcher.mEpoch = aEpoch;
+  mDispatcher.mNextRun = (aEpoch << 20) + 1;
+  mDispatcher.mEarlierLeasesUntil = mNow + Seconds(18);
+  SetQueues(mDispatcher, queues);
   for (const RunnerSpec& spec : mListed) {
-    AddInheritedRunner(mCore,
+    AddInheritedRunner(mDispatcher,
                        { spec,
                          mRecords.contains(spec.mId)
                            ? std::optional(mRecords.at(spec.mId))
@@ -105,23 +105,24 @@
   }
   for (const auto& [id, spec] : mAccepted) {
     const auto stored = mStored.find(id);
-    dispatch::AddJob(mCore,
+    dispatch::AddJob(mDispatcher,
                      spec,
                      stored == mStored.end() ? nullptr : &stored->second,
                      PriorRuns::Possible,
                      mNow,
                      mNow);
   }
-  AdoptRecordedRuns(mCore, mNow);
-  SetRunners(mCore, mListed, mNow, mActions);
+  AdoptRecordedRuns(mDispatcher, mNow);
+  SetRunners(mDispatcher, mListed, mNow, mActions);
 }
 
 void
 DispatchWorld::AddJob(JobSpec aSpec, PriorRuns aPriorRuns)
 {
   mAccepted.emplace(aSpec.mId, aSpec);
-  dispatch::AddJob(mCore, std::move(aSpec), nullptr, aPriorRuns, mNow, mNow);
-  PlaceWaiting(mCore, mNow, mActions);
+  dispatch::AddJob(
+    mDispatcher, std::move(aSpec), nullptr, aPriorRuns, mNow, mNow);
+  PlaceWaiting(mDispatcher, mNow, mActions);
   PerformOrders();
 }
 
@@ -135,11 +136,12 @@
     for (const Action& action : actions) {
       if (const auto* start = std::get_if<StartTask>(&action)) {
         const TaskName name = NameOf(start->mTask);
-        FakeRunner& runner = mRunners[mCore.mRunners[start->mRunner].mSpec.mId];
+        FakeRunner& runner =
+          mRunners[mDispatcher.mRunners[start->mRunner].mSpec.mId];
         ++mStarts;
         if (mDropStarts || !runner.mAnswers) {
           mLostStarts.push_back(*start);
-          HandleStartResult(mCore,
+          HandleStartResult(mDispatcher,
                             start->mRunner,
                             name,
                             start->mRun,
@@ -149,7 +151,7 @@
           continue;
         }
         runner.mRunning.push_back({ FormatTaskName(name), start->mRun });
-        HandleStartResult(mCore,
+        HandleStartResult(mDispatcher,
                           start->mRunner,
                           name,
                           start->mRun,
@@ -157,7 +159,8 @@
                           mNow,
                           mActions);
       } else if (const auto* stop = std::get_if<StopTask>(&action)) {
-        FakeRunner& runner = mRunners[mCore.mRunners[stop->mRunner].mSpec.mId];
+        FakeRunner& runner =
+          mRunners[mDispatcher.mRunners[stop->mRunner].mSpec.mId];
         if (!runner.mAnswers) {
           continue;
         }
@@ -174,7 +177,8 @@
                                    EndKind::Stopped,
                                    {} });
         }
-        HandleStopAnswered(mCore, stop->mRunner, stop->mTask, stop->mRun, mNow);
+        HandleStopAnswered(
+          mDispatcher, stop->mRunner, stop->mTask, stop->mRun, mNow);
       } else if (const auto* pace = std::get_if<PaceTask>(&action)) {
         mPaceOrders.push_back(*pace);
       }
@@ -185,10 +189,10 @@
 void
 DispatchWorld::Report(RunnerIndex aRunner)
 {
-  FakeRunner& fake = mRunners[mCore.mRunners[aRunner].mSpec.mId];
-  const RenewalPlan plan = PlanRenewal(mCore, aRunner, mNow);
+  FakeRunner& fake = mRunners[mDispatcher.mRunners[aRunner].mSpec.mId];
+  const RenewalPlan plan = PlanRenewal(mDispatcher, aRunner, mNow);
   if (!fake.mAnswers) {
-    HandleNoReport(mCore, aRunner, mNow);
+    HandleNoReport(mDispatcher, aRunner, mNow);
     return;
   }
   std::erase_if(fake.mEnds, [&](const EndEntry& aEnd) {
@@ -207,14 +211,14 @@
         mLoadOf ? mLoadOf(fake, run) : run.mReportedLoad });
   }
   report.mEnds = fake.mEnds;
-  HandleReport(mCore, aRunner, report, mNow, mNow, mActions);
+  HandleReport(mDispatcher, aRunner, report, mNow, mNow, mActions);
   PerformOrders();
 }
 
 void
 DispatchWorld::Report()
 {
-  for (RunnerIndex i = 0; i < mCore.mRunners.size(); ++i) {
+  for (RunnerIndex i = 0; i < mDispatcher.mRunners.size(); ++i) {
     Report(i);
   }
 }
@@ -222,14 +226,14 @@
 void
 DispatchWorld::Tick()
 {
-  HandleTick(mCore, mNow, 0, mActions);
+  HandleTick(mDispatcher, mNow, 0, mActions);
   PerformOrders();
 }
 
 void
 DispatchWorld::Commit()
 {
-  const std::optional<dispatch::Commit> commit = TakeCommit(mCore);
+  const std::optional<dispatch::Commit> commit = TakeCommit(mDispatcher);
   if (!commit) {
     return;
   }
@@ -245,7 +249,7 @@
       mAccepted.erase(id);
     }
   }
-  HandleCommitted(mCore, *commit, phases);
+  HandleCommitted(mDispatcher, *commit, phases);
 }
 
 void
--- a/Tests/LibDispatch/DispatchWorld.h
+++ b/Tests/LibDispatch/DispatchWorld.h
@@ -58,7 +58,7 @@
   /// Carries out the orders in mActions and those that follow from the answers.
   void PerformOrders();
 
-  Dispatcher mCore;
+  Dispatcher mDispatcher;
   std::map<std::string, FakeRunner> mRunners;
   std::vector<RunnerSpec> mListed; ///< Runners that service discovery lists.
   std::map<std::string, JobProgress> mStored; ///< Stored progress, by job.
--- a/Tests/LibDispatch/TestInterference.cpp
+++ b/Tests/LibDispatch/TestInterference.cpp
@@ -29,7 +29,7 @@
   DispatchWorld mWorld;
 
   /// Starts two serving jobs on two runners, each of which has room for one of
-  /// them. Best-effort tasks of the jobs "loud..." interfere with the image of
+  /// them. Best-effort tasks of the jobs "noisy..." interfere with the image of
   /// the job "first", but not with that of "second".
   void Begin()
   {
@@ -39,13 +39,13 @@
     second.mImage = "second-image";
     mWorld.mLoadOf = [](const DispatchWorld::FakeRunner& aRunner,
                         const DispatchWorld::Run& aRun) -> std::int32_t {
-      const bool loud = std::any_of(aRunner.mRunning.begin(),
-                                    aRunner.mRunning.end(),
-                                    [](const DispatchWorld::Run& aOther) {
-                                      return StartsWith(aOther, "loud");
-                                    });
+      const bool noisy = std::any_of(aRunner.mRunning.begin(),
+                                     aRunner.mRunning.end(),
+                                     [](const DispatchWorld::Run& aOther) {
+                                       return StartsWith(aOther, "noisy");
+                                     });
       if (StartsWith(aRun, "first")) {
-        return loud ? kRaisedTailMs : kUndisturbedTailMs;
+        return noisy ? kRaisedTailMs : kUndisturbedTailMs;
       }
       return StartsWith(aRun, "second") ? kUndisturbedTailMs : 2000;
     };
@@ -55,13 +55,13 @@
     mWorld.AdvanceTime(Seconds(4));
   }
 
-  /// Runs twelve interfering jobs one after the other. @param aPause time
-  /// between the end of a job and the next
-  void RunTwelveLoudJobs(Millis aPause)
+  /// Runs twelve interfering jobs one after the other.
+  /// @param aPause time between the end of a job and the next
+  void RunTwelveNoisyJobs(Millis aPause)
   {
     for (int i = 0; i < 12; ++i) {
-      const std::string job = "loud" + std::to_string(i);
-      mWorld.AddJob(MakeJob(job, { BestEffortStep(1, 2000, "loud-image") }));
+      const std::string job = "noisy" + std::to_string(i);
+      mWorld.AddJob(MakeJob(job, { BestEffortStep(1, 2000, "noisy-image") }));
       mWorld.AdvanceTime(Seconds(2));
       mWorld.End(job + ".0.0.0", EndKind::Done);
       mWorld.AdvanceTime(aPause);
@@ -86,13 +86,14 @@
 TEST(Interference, LearnsWhichImagesInterfere)
 {
   Begin();
-  RunTwelveLoudJobs(Millis(200));
-  const std::string quiet = mWorld.RunnerOf("second.0.0.0");
+  RunTwelveNoisyJobs(Millis(200));
+  const std::string unaffectedRunner = mWorld.RunnerOf("second.0.0.0");
   for (int i = 12; i < 16; ++i) {
-    const std::string job = "loud" + std::to_string(i);
-    mWorld.AddJob(MakeJob(job, { BestEffortStep(1, 2000, "loud-image") }));
+    const std::string job = "noisy" + std::to_string(i);
+    mWorld.AddJob(MakeJob(job, { BestEffortStep(1, 2000, "noisy-image") }));
     mWorld.AdvanceTime(Millis(500));
-    STRCMP_EQUAL(quiet.c_str(), mWorld.RunnerOf(job + ".0.0.0").c_str());
+    STRCMP_EQUAL(unaffectedRunner.c_str(),
+                 mWorld.RunnerOf(job + ".0.0.0").c_str());
     mWorld.End(job + ".0.0.0", EndKind::Done);
     mWorld.AdvanceTime(Millis(200));
   }
@@ -104,8 +105,8 @@
 TEST(Interference, ThrottlesBeforeTheAllowedTimeOverTarget)
 {
   Begin();
-  mWorld.AddJob(MakeJob("loud", { BestEffortStep(1, 2000, "loud-image") }));
-  if (mWorld.RunnerOf("loud.0.0.0") != mWorld.RunnerOf("first.0.0.0")) {
+  mWorld.AddJob(MakeJob("noisy", { BestEffortStep(1, 2000, "noisy-image") }));
+  if (mWorld.RunnerOf("noisy.0.0.0") != mWorld.RunnerOf("first.0.0.0")) {
     // The task was placed where it does not interfere, so nothing must be
     // throttled.
     return;
@@ -114,9 +115,9 @@
   const bool halted =
     std::any_of(mWorld.mPaceOrders.begin(),
                 mWorld.mPaceOrders.end(),
-                [](const PaceTask& aPace) { return aPace.mPercent <= 50; });
+                [](const PaceTask& aPace) { return aPace.mPacePercent <= 50; });
   CHECK_TRUE(halted ||
-             mWorld.RunnerOf("loud.0.0.0") != mWorld.RunnerOf("first.0.0.0"));
+             mWorld.RunnerOf("noisy.0.0.0") != mWorld.RunnerOf("first.0.0.0"));
 }
 
 // Guards against tasks that stay halted forever after a takeover, because the
@@ -129,10 +130,10 @@
   mWorld.TakeOver(2);
   mWorld.mPaceOrders.clear();
   mWorld.AdvanceTime(Seconds(3));
-  CHECK_TRUE(
-    std::any_of(mWorld.mPaceOrders.begin(),
-                mWorld.mPaceOrders.end(),
-                [](const PaceTask& aPace) { return aPace.mPercent == 100; }));
+  CHECK_TRUE(std::any_of(
+    mWorld.mPaceOrders.begin(),
+    mWorld.mPaceOrders.end(),
+    [](const PaceTask& aPace) { return aPace.mPacePercent == 100; }));
 }
 
 // Guards against taking the calm phase of a task, in which it uses two thirds
@@ -173,36 +174,36 @@
 }
 
 // Guards against filling runners that tolerate any image with harmless tasks.
-// Here, "loud" tasks interfere with the serving image "touchy" but not with
-// "steady", and "mild" tasks interfere with neither; so the "mild" ones must
-// leave the runner of "steady" to the "loud" ones.
+// Here, "noisy" tasks interfere with the serving image "sensitive" but not with
+// "tolerant", and "harmless" tasks interfere with neither; so the "harmless"
+// ones must leave the runner of "tolerant" to the "noisy" ones.
 TEST(Interference, HarmlessTasksAvoidTolerantRunners)
 {
-  StepSpec touchy = LongRunningStep(2, 7000);
-  touchy.mImage = "touchy-image";
-  StepSpec steady = LongRunningStep(2, 7000);
-  steady.mImage = "steady-image";
+  StepSpec sensitive = LongRunningStep(2, 7000);
+  sensitive.mImage = "sensitive-image";
+  StepSpec tolerant = LongRunningStep(2, 7000);
+  tolerant.mImage = "tolerant-image";
   mWorld.mLoadOf = [](const DispatchWorld::FakeRunner& aRunner,
                       const DispatchWorld::Run& aRun) -> std::int32_t {
-    if (StartsWith(aRun, "steady")) {
+    if (StartsWith(aRun, "tolerant")) {
       return kUndisturbedTailMs;
     }
-    if (!StartsWith(aRun, "touchy")) {
+    if (!StartsWith(aRun, "sensitive")) {
       return 2000;
     }
-    const bool loud = std::any_of(aRunner.mRunning.begin(),
-                                  aRunner.mRunning.end(),
-                                  [](const DispatchWorld::Run& aOther) {
-                                    return StartsWith(aOther, "loud");
-                                  });
-    return loud ? kRaisedTailMs : kUndisturbedTailMs;
+    const bool noisy = std::any_of(aRunner.mRunning.begin(),
+                                   aRunner.mRunning.end(),
+                                   [](const DispatchWorld::Run& aOther) {
+                                     return StartsWith(aOther, "noisy");
+                                   });
+    return noisy ? kRaisedTailMs : kUndisturbedTailMs;
   };
   mWorld.ListRunners(2);
-  mWorld.AddJob(MakeJob("touchy", { touchy }));
-  mWorld.AddJob(MakeJob("steady", { steady }));
+  mWorld.AddJob(MakeJob("sensitive", { sensitive }));
+  mWorld.AddJob(MakeJob("tolerant", { tolerant }));
   mWorld.AdvanceTime(Seconds(4));
   for (int i = 0; i < 8; ++i) {
-    for (const char* kind : { "loud", "mild" }) {
+    for (const char* kind : { "noisy", "harmless" }) {
       const std::string job = kind + std::to_string(i);
       mWorld.AddJob(MakeJob(
         job, { BestEffortStep(1, 2000, std::string(kind) + "-image") }));
@@ -211,15 +212,16 @@
       mWorld.AdvanceTime(Seconds(1));
     }
   }
-  const std::string open = mWorld.RunnerOf("steady.0.0.0");
+  const std::string tolerantRunner = mWorld.RunnerOf("tolerant.0.0.0");
   mWorld.AddJob(
-    MakeJob("mild-last", { BestEffortStep(1, 2000, "mild-image") }));
+    MakeJob("harmless-last", { BestEffortStep(1, 2000, "harmless-image") }));
   mWorld.AddJob(
-    MakeJob("loud-last", { BestEffortStep(1, 2000, "loud-image") }));
+    MakeJob("noisy-last", { BestEffortStep(1, 2000, "noisy-image") }));
   mWorld.AdvanceTime(Millis(300));
-  STRCMP_EQUAL(mWorld.RunnerOf("touchy.0.0.0").c_str(),
-               mWorld.RunnerOf("mild-last.0.0.0").c_str());
-  STRCMP_EQUAL(open.c_str(), mWorld.RunnerOf("loud-last.0.0.0").c_str());
+  STRCMP_EQUAL(mWorld.RunnerOf("sensitive.0.0.0").c_str(),
+               mWorld.RunnerOf("harmless-last.0.0.0").c_str());
+  STRCMP_EQUAL(tolerantRunner.c_str(),
+               mWorld.RunnerOf("noisy-last.0.0.0").c_str());
 }
 
 // Guards against throttling a harmless task because the serving task beside it
@@ -242,8 +244,8 @@
   mWorld.AddJob(MakeJob("serving", { step }));
   mWorld.AdvanceTime(Seconds(2));
   for (int i = 0; i < 4; ++i) {
-    const std::string job = "mild" + std::to_string(i);
-    mWorld.AddJob(MakeJob(job, { BestEffortStep(1, 1500, "mild-image") }));
+    const std::string job = "harmless" + std::to_string(i);
+    mWorld.AddJob(MakeJob(job, { BestEffortStep(1, 1500, "harmless-image") }));
     mWorld.AdvanceTime(Seconds(2));
     mWorld.mPaceOrders.clear();
     mWorld.AdvanceTime(Seconds(1));
@@ -259,17 +261,18 @@
 TEST(Interference, ANewOwnerKeepsTheLearnedEffects)
 {
   Begin();
-  RunTwelveLoudJobs(Millis(700));
+  RunTwelveNoisyJobs(Millis(700));
   const InterferenceRecord record =
-    RecordOf(mWorld.mCore.mInterference, mWorld.mNow);
+    RecordOf(mWorld.mDispatcher.mInterference, mWorld.mNow);
   mWorld.TakeOver(2);
-  Adopt(mWorld.mCore.mInterference, record, mWorld.mNow);
+  Adopt(mWorld.mDispatcher.mInterference, record, mWorld.mNow);
   mWorld.AdvanceTime(Seconds(1));
-  const std::string quiet = mWorld.RunnerOf("second.0.0.0");
+  const std::string unaffectedRunner = mWorld.RunnerOf("second.0.0.0");
   for (int i = 12; i < 15; ++i) {
-    const std::string job = "loud" + std::to_string(i);
-    mWorld.AddJob(MakeJob(job, { BestEffortStep(1, 2000, "loud-image") }));
+    const std::string job = "noisy" + std::to_string(i);
+    mWorld.AddJob(MakeJob(job, { BestEffortStep(1, 2000, "noisy-image") }));
     mWorld.AdvanceTime(Millis(500));
-    STRCMP_EQUAL(quiet.c_str(), mWorld.RunnerOf(job + ".0.0.0").c_str());
+    STRCMP_EQUAL(unaffectedRunner.c_str(),
+                 mWorld.RunnerOf(job + ".0.0.0").c_str());
   }
 }
--- a/Tests/LibDispatch/TestOrder.cpp
+++ b/Tests/LibDispatch/TestOrder.cpp
@@ -33,11 +33,11 @@
 {
   DispatchWorld world;
   world.ListRunners(1);
-  world.AddJob(MakeJob("lasting", { LongRunningStep(1, 16000) }));
+  world.AddJob(MakeJob("long-running", { LongRunningStep(1, 16000) }));
   world.AddJob(MakeJob("finite", { FiniteStep(1, 16000) }));
-  world.End("lasting.0.0.0", EndKind::Failed);
+  world.End("long-running.0.0.0", EndKind::Failed);
   world.AdvanceTime(Millis(300));
-  CHECK_TRUE(world.IsRunning("lasting.0.0.0"));
+  CHECK_TRUE(world.IsRunning("long-running.0.0.0"));
 }
 
 // Guards against starting a step before all tasks of its predecessor are done.
--- a/Tests/LibDispatch/TestRunners.cpp
+++ b/Tests/LibDispatch/TestRunners.cpp
@@ -19,7 +19,7 @@
     aWorld.AdvanceTime(Millis(100));
     aWorld.End(job + ".0.0.0", EndKind::Failed);
     aWorld.AdvanceTime(Millis(100));
-    CancelJob(aWorld.mCore, job, aWorld.mNow, aWorld.mActions);
+    CancelJob(aWorld.mDispatcher, job, aWorld.mNow, aWorld.mActions);
   }
 }
 
@@ -71,7 +71,7 @@
   world.AddJob(MakeJob("job", { FiniteStep(1, 1000) }));
   world.mDropStarts = false;
   const StartTask lost = world.mLostStarts.at(0);
-  const std::string id = world.mCore.mRunners[lost.mRunner].mSpec.mId;
+  const std::string id = world.mDispatcher.mRunners[lost.mRunner].mSpec.mId;
   world.mRunners[id].mIncarnation = 2;
   // The late start order reaches the new process.
   world.mRunners[id].mRunning.push_back({ "job.0.0.0", lost.mRun });
@@ -87,7 +87,7 @@
   world.ListRunners(1);
   world.AddJob(MakeJob("a", { FiniteStep(1, 16000) }));
   world.mRunners["r0"].mAnswers = false;
-  CancelJob(world.mCore, "a", world.mNow, world.mActions);
+  CancelJob(world.mDispatcher, "a", world.mNow, world.mActions);
   world.PerformOrders();
   world.AddJob(MakeJob("b", { FiniteStep(1, 16000) }));
   LONGS_EQUAL(1, world.mStarts);
@@ -105,9 +105,11 @@
   world.AddJob(MakeJob("job", { FiniteStep(2, 1000) }));
   world.End("job.0.0.0", EndKind::Done);
   world.Report();
-  LONGS_EQUAL(0, PlanRenewal(world.mCore, 0, world.mNow).mAcknowledgedEnd);
+  LONGS_EQUAL(0,
+              PlanRenewal(world.mDispatcher, 0, world.mNow).mAcknowledgedEnd);
   world.Commit();
-  LONGS_EQUAL(1, PlanRenewal(world.mCore, 0, world.mNow).mAcknowledgedEnd);
+  LONGS_EQUAL(1,
+              PlanRenewal(world.mDispatcher, 0, world.mNow).mAcknowledgedEnd);
 }
 
 // Guards against starting tasks on a draining runner, which is about to leave.
@@ -116,7 +118,7 @@
   DispatchWorld world;
   world.ListRunners(1);
   world.mListed[0].mDraining = true;
-  SetRunners(world.mCore, world.mListed, world.mNow, world.mActions);
+  SetRunners(world.mDispatcher, world.mListed, world.mNow, world.mActions);
   world.AddJob(MakeJob("job", { FiniteStep(1, 1000) }));
   world.AdvanceTime(Seconds(1));
   LONGS_EQUAL(0, world.mStarts);
@@ -130,11 +132,11 @@
   DispatchWorld world;
   world.ListRunners(1);
   FailFourJobs(world);
-  CHECK_TRUE(world.mCore.mRunners[0].mOnProbation);
+  CHECK_TRUE(world.mDispatcher.mRunners[0].mOnProbation);
   world.mProgressPercent = 100;
-  world.AddJob(MakeJob("lasting", { LongRunningStep(1, 1000) }));
+  world.AddJob(MakeJob("long-running", { LongRunningStep(1, 1000) }));
   world.AdvanceTime(Seconds(25));
-  CHECK_TRUE(world.IsRunning("lasting.0.0.0"));
+  CHECK_TRUE(world.IsRunning("long-running.0.0.0"));
   world.AddJob(MakeJob("next", { LongRunningStep(1, 1000) }));
   world.AdvanceTime(Seconds(1));
   CHECK_TRUE(world.IsRunning("next.0.0.0"));
@@ -155,10 +157,10 @@
     world.End("bad" + std::to_string(i) + ".0.0.0", EndKind::Failed);
   }
   world.Report();
-  const Runner& runner = world.mCore.mRunners[0];
+  const Runner& runner = world.mDispatcher.mRunners[0];
   CHECK_TRUE(runner.mOnProbation);
   CHECK_TRUE(runner.mAvoidUntil <=
-             world.mNow + world.mCore.mSettings.mFirstQuarantine);
+             world.mNow + world.mDispatcher.mSettings.mFirstQuarantine);
 }
 
 // Guards against ending a probation because of a task that started before the
@@ -169,7 +171,7 @@
   DispatchWorld world;
   world.ListRunners(1);
   world.mProgressPercent = 100;
-  world.AddJob(MakeJob("lasting", { LongRunningStep(1, 1000) }));
+  world.AddJob(MakeJob("long-running", { LongRunningStep(1, 1000) }));
   world.AdvanceTime(Seconds(4));
   for (int i = 0; i < 4; ++i) {
     const std::string job = "bad" + std::to_string(i);
@@ -179,7 +181,7 @@
     world.AdvanceTime(Millis(100));
   }
   world.AdvanceTime(Millis(500));
-  CHECK_TRUE(world.mCore.mRunners[0].mOnProbation);
+  CHECK_TRUE(world.mDispatcher.mRunners[0].mOnProbation);
 }
 
 // Guards against a runner that gets no task for its probation because it still
@@ -189,10 +191,10 @@
 {
   DispatchWorld world;
   world.ListRunners(1);
-  world.AddJob(MakeJob("lasting", { LongRunningStep(1, 1000) }));
+  world.AddJob(MakeJob("long-running", { LongRunningStep(1, 1000) }));
   world.AdvanceTime(Millis(500));
   FailFourJobs(world);
-  CHECK_TRUE(world.mCore.mRunners[0].mOnProbation);
+  CHECK_TRUE(world.mDispatcher.mRunners[0].mOnProbation);
   world.AddJob(MakeJob("first", { FiniteStep(1, 1000) }));
   world.AddJob(MakeJob("second", { FiniteStep(1, 1000) }));
   world.AdvanceTime(Seconds(4));
--- a/Tests/LibDispatch/TestTakeover.cpp
+++ b/Tests/LibDispatch/TestTakeover.cpp
@@ -26,9 +26,10 @@
   // The fourth run fails, and the owner is lost before it stores any end.
   world.End("job.0.0.0", EndKind::Failed);
   world.TakeOver(2);
-  std::reverse(world.mCore.mRunners.begin(), world.mCore.mRunners.end());
-  for (RunnerIndex i = 0; i < world.mCore.mRunners.size(); ++i) {
-    world.mCore.mRunnerById[world.mCore.mRunners[i].mSpec.mId] = i;
+  std::reverse(world.mDispatcher.mRunners.begin(),
+               world.mDispatcher.mRunners.end());
+  for (RunnerIndex i = 0; i < world.mDispatcher.mRunners.size(); ++i) {
+    world.mDispatcher.mRunnerById[world.mDispatcher.mRunners[i].mSpec.mId] = i;
   }
   world.AdvanceTime(Millis(500));
   LONGS_EQUAL(4, world.mStarts);
@@ -94,13 +95,13 @@
 {
   DispatchWorld world;
   world.ListRunners(4);
-  world.AddJob(MakeJob("held", { FiniteStep(1, 1000) }));
-  const std::string silent = world.RunnerOf("held.0.0.0");
+  world.AddJob(MakeJob("recorded", { FiniteStep(1, 1000) }));
+  const std::string silent = world.RunnerOf("recorded.0.0.0");
   world.mRunners[silent].mAnswers = false;
   world.AdvanceTime(Millis(500));
-  const RunnerIndex index = world.mCore.mRunnerById.at(silent);
-  CHECK_TRUE(ShouldStoreRecord(world.mCore, index, world.mNow));
-  world.mRecords[silent] = PossibleRuns(world.mCore, index);
+  const RunnerIndex index = world.mDispatcher.mRunnerById.at(silent);
+  CHECK_TRUE(ShouldStoreRecord(world.mDispatcher, index, world.mNow));
+  world.mRecords[silent] = PossibleRuns(world.mDispatcher, index);
   world.mAccepted.emplace("other", MakeJob("other", { FiniteStep(1, 1000) }));
   world.TakeOver(2);
   world.AdvanceTime(Millis(500));
@@ -126,7 +127,7 @@
   world.mRunners[silent].mAnswers = false;
   world.AdvanceTime(Millis(500));
   world.mRecords[silent] =
-    PossibleRuns(world.mCore, world.mCore.mRunnerById.at(silent));
+    PossibleRuns(world.mDispatcher, world.mDispatcher.mRunnerById.at(silent));
   LONGS_EQUAL(2, world.mRecords[silent].size());
   // The leases of the runner end, and its tasks run on other runners. One of
   // them is done.
--- a/Tests/LibNode/ClusterSimulation.cpp
+++ b/Tests/LibNode/ClusterSimulation.cpp
@@ -58,20 +58,20 @@
 {
   RunnerPort port;
   port.mRenew = [this](const RunnerTarget& aTarget,
-                       const RenewalRequest& aRequest,
+                       const RenewalOrder& aOrder,
                        const std::function<void(RenewalOutcome)>& aDone) {
     // The answer must come after the call has returned.
-    mDeadlines.Add(mNow, [this, id = aTarget.mId, aRequest, aDone] {
+    mDeadlines.Add(mNow, [this, id = aTarget.mId, aOrder, aDone] {
       FakeRunner& runner = mRunners[id];
       RenewalOutcome outcome;
-      if (aRequest.mFencingToken < runner.mFencingToken) {
+      if (aOrder.mFencingToken < runner.mFencingToken) {
         outcome.mResult = RunnerResult::Fenced;
         aDone(outcome);
         return;
       }
-      runner.mFencingToken = aRequest.mFencingToken;
+      runner.mFencingToken = aOrder.mFencingToken;
       std::erase_if(runner.mEnds, [&](const dispatch::EndEntry& aEnd) {
-        return aEnd.mNumber <= aRequest.mAcknowledgedEnd;
+        return aEnd.mNumber <= aOrder.mAcknowledgedEnd;
       });
       outcome.mResult = RunnerResult::Done;
       outcome.mReport.mClockMs =
@@ -86,42 +86,42 @@
     });
   };
   port.mStart = [this](const RunnerTarget& aTarget,
-                       const StartRequest& aRequest,
+                       const StartOrder& aOrder,
                        const std::function<void(RunnerResult)>& aDone) {
-    mDeadlines.Add(mNow, [this, id = aTarget.mId, aRequest, aDone] {
+    mDeadlines.Add(mNow, [this, id = aTarget.mId, aOrder, aDone] {
       FakeRunner& runner = mRunners[id];
-      if (aRequest.mFencingToken < runner.mFencingToken) {
+      if (aOrder.mFencingToken < runner.mFencingToken) {
         aDone(RunnerResult::Fenced);
         return;
       }
       ++mStarts;
-      runner.mRunning.push_back({ aRequest.mTask, aRequest.mRun });
+      runner.mRunning.push_back({ aOrder.mTask, aOrder.mRun });
       aDone(RunnerResult::Done);
     });
   };
   port.mStop = [this](const RunnerTarget& aTarget,
-                      const RunChangeRequest& aRequest,
+                      const RunChangeOrder& aOrder,
                       const std::function<void(RunnerResult)>& aDone) {
-    mDeadlines.Add(mNow, [this, id = aTarget.mId, aRequest, aDone] {
+    mDeadlines.Add(mNow, [this, id = aTarget.mId, aOrder, aDone] {
       FakeRunner& runner = mRunners[id];
       const auto run = std::find_if(
         runner.mRunning.begin(),
         runner.mRunning.end(),
-        [&](const FakeRun& aRun) { return aRun.mTask == aRequest.mTask; });
+        [&](const FakeRun& aRun) { return aRun.mTask == aOrder.mTask; });
       if (run != runner.mRunning.end()) {
         runner.mRunning.erase(run);
         runner.mEnds.push_back({ runner.mNextEnd++,
-                                 *dispatch::ParseTaskName(aRequest.mTask),
-                                 aRequest.mRun,
+                                 *dispatch::ParseTaskName(aOrder.mTask),
+                                 aOrder.mRun,
                                  dispatch::EndKind::Stopped,
                                  {} });
       }
       aDone(RunnerResult::Done);
     });
   };
-  port.mThrottle = [](const RunnerTarget&,
-                      const RunChangeRequest&,
-                      const std::function<void(RunnerResult)>& aDone) {
+  port.mSetPace = [](const RunnerTarget&,
+                     const RunChangeOrder&,
+                     const std::function<void(RunnerResult)>& aDone) {
     aDone(RunnerResult::Done);
   };
   return port;
--- a/Tests/LibNode/FakeStore.cpp
+++ b/Tests/LibNode/FakeStore.cpp
@@ -142,31 +142,31 @@
 void
 FakeStore::ServeWaitingReaders()
 {
-  std::vector<WaitingReader> followers = std::move(mWaitingReaders);
+  std::vector<WaitingReader> waiting = std::move(mWaitingReaders);
   mWaitingReaders.clear();
-  for (WaitingReader& follower : followers) {
+  for (WaitingReader& reader : waiting) {
     ReadOutcome outcome;
     outcome.mVersion = mVersion;
     if (mRefuses) {
-      follower.mDone(outcome);
+      reader.mDone(outcome);
       continue;
     }
     if (mHistoryGone) {
       mHistoryGone = false;
       outcome.mResult = ReadResult::HistoryGone;
-      follower.mDone(outcome);
+      reader.mDone(outcome);
       continue;
     }
     outcome.mResult = ReadResult::Read;
     for (const StoreRow& row : mHistory) {
-      if (row.mTable == follower.mTable && row.mVersion > follower.mAfter) {
+      if (row.mTable == reader.mTable && row.mVersion > reader.mAfter) {
         outcome.mRows.push_back(row);
       }
     }
     if (outcome.mRows.empty()) {
-      mWaitingReaders.push_back(std::move(follower));
+      mWaitingReaders.push_back(std::move(reader));
     } else {
-      follower.mDone(outcome);
+      reader.mDone(outcome);
     }
   }
 }
--- a/Tests/LibNode/TestInterferenceRow.cpp
+++ b/Tests/LibNode/TestInterferenceRow.cpp
@@ -14,13 +14,13 @@
 {
   InterferenceRecord record;
   record.mImages.push_back({ "serving \"one\"", 4.25 });
-  record.mEffects.push_back({ "loud", "serving \"one\"", 2.5, 0.0625 });
+  record.mEffects.push_back({ "noisy", "serving \"one\"", 2.5, 0.0625 });
   const InterferenceRecord read = ParseInterference(FormatInterference(record));
   LONGS_EQUAL(1, read.mImages.size());
   STRCMP_EQUAL("serving \"one\"", read.mImages[0].mName.c_str());
   DOUBLES_EQUAL(4.25, read.mImages[0].mMinTailMs, 1e-9);
   LONGS_EQUAL(1, read.mEffects.size());
-  STRCMP_EQUAL("loud", read.mEffects[0].mInterfering.c_str());
+  STRCMP_EQUAL("noisy", read.mEffects[0].mInterfering.c_str());
   DOUBLES_EQUAL(2.5, read.mEffects[0].mMean, 1e-9);
   DOUBLES_EQUAL(0.063, read.mEffects[0].mVariance, 1e-9);
 }
--- a/Tests/LibNode/TestNode.cpp
+++ b/Tests/LibNode/TestNode.cpp
@@ -258,7 +258,7 @@
 
 // Guards against jobs that a new owner misses because they are in another
 // partition, also with a store whose transactions can't span partitions.
-TEST(Node, FindsTheJobsOfEveryPartAfterATakeover)
+TEST(Node, FindsTheJobsOfEveryPartitionAfterATakeover)
 {
   for (const bool spread : { true, false }) {
     ClusterSimulation cluster;
--- a/Tests/Platform/TestDirectory.cpp
+++ b/Tests/Platform/TestDirectory.cpp
@@ -89,12 +89,12 @@
   int reads = 0;
   StorePort counted = port;
   counted.mRead = [&](const std::string& aTable,
-                      const std::string& aPart,
+                      const std::string& aPartition,
                       const std::string& aFrom,
                       const std::string& aTo,
                       const ReadHandler& aDone) {
     ++reads;
-    port.mRead(aTable, aPart, aFrom, aTo, aDone);
+    port.mRead(aTable, aPartition, aFrom, aTo, aDone);
   };
   Put(port, store, "config", kConfiguration);
   DirectoryPort directory =
