--- a/Libraries/LibDispatch/Dispatcher.h
+++ b/Libraries/LibDispatch/Dispatcher.h
@@ -219,6 +219,7 @@
   Unknown    ///< There was no answer, so the task may run.
 };
 
+/// Handles the result of a start order.
 void
 HandleStartResult(Dispatcher& aDispatcher,
                   RunnerIndex aRunner,
--- a/Libraries/LibNode/ClientFrontEnd.cpp
+++ b/Libraries/LibNode/ClientFrontEnd.cpp
@@ -18,7 +18,7 @@
 
 /// Number of ended jobs whose status is kept here, so that it is answered
 /// without a read of the store.
-constexpr std::size_t kMostRememberedStatuses = 20000;
+constexpr std::size_t kMaxRememberedStatuses = 20000;
 
 } // namespace
 
@@ -196,7 +196,7 @@
     return;
   }
   mEndedOrder.push_back(aJob);
-  if (mEndedOrder.size() > kMostRememberedStatuses) {
+  if (mEndedOrder.size() > kMaxRememberedStatuses) {
     mEndedStatuses.erase(mEndedOrder.front());
     mEndedOrder.pop_front();
   }
--- a/Libraries/LibNode/Cluster.h
+++ b/Libraries/LibNode/Cluster.h
@@ -126,8 +126,8 @@
   std::int64_t mEpoch = 0; ///< Epoch of the new owner.
   /// The earlier owner may still send orders to runners until its lease ends.
   bool mEarlierOwnerMayAct = false;
-  /// The earlier owner's count of waiting jobs by queue. The new owner
-  /// publishes it until it has read the jobs itself.
+  /// The earlier owner's ShardRow::mPending. The new owner publishes it until
+  /// it has read the jobs itself.
   std::map<std::string, std::uint64_t> mPending;
 };
 
--- a/Libraries/LibNode/Node.h
+++ b/Libraries/LibNode/Node.h
@@ -58,7 +58,9 @@
   void HandleRenewal(const TransactionOutcome& aOutcome,
                      const std::vector<RenewedShard>& aShards,
                      MonotonicTime aSentAt);
+  /// Reads the nodes' rows into mView.
   void ReadNodes();
+  /// Reads the shards' rows into mView; then claims shards and hands them over.
   void ReadShards();
   /// Reads what the operator publishes, and passes it on to the owned shards.
   void ReadOperator();
--- a/Libraries/LibNode/RunnerPort.h
+++ b/Libraries/LibNode/RunnerPort.h
@@ -63,12 +63,13 @@
 {
   std::string mTask;            ///< Name of the task, see FormatTaskName().
   std::int64_t mRun = 0;        ///< Run numbers of a task rise with each start.
-  std::string mPayload;         ///< See JobSpec::mPayload.
+  std::string mPayload;         ///< Opaque text of the job for its tasks.
   std::int64_t mLeaseEndMs = 0; ///< On the runner's clock.
   std::int64_t mFencingToken = 0;
   /// Checkpoint from which the run resumes; empty: it starts from the
   /// beginning.
   std::string mCheckpoint;
+  /// Ticket that the runner checks before it starts the run, or empty.
   std::string mStartTicket;
 };
 
--- a/Libraries/LibNode/ShardCommits.cpp
+++ b/Libraries/LibNode/ShardCommits.cpp
@@ -19,7 +19,7 @@
 /// Number of ended jobs that are remembered for reads of the inbox that were in
 /// flight when the jobs ended. Such a read takes a second at most, in which
 /// some hundred jobs of a shard end.
-constexpr std::size_t kMostRememberedEndedJobs = 5000;
+constexpr std::size_t kMaxRememberedEndedJobs = 5000;
 
 } // namespace
 
@@ -202,7 +202,7 @@
 {
   mEndedJobs.insert(aJob);
   mEndedOrder.push_back(aJob);
-  if (mEndedOrder.size() > kMostRememberedEndedJobs) {
+  if (mEndedOrder.size() > kMaxRememberedEndedJobs) {
     mEndedJobs.erase(mEndedOrder.front());
     mEndedOrder.pop_front();
   }
--- a/Libraries/LibNode/ShardState.h
+++ b/Libraries/LibNode/ShardState.h
@@ -97,6 +97,7 @@
   void HandleInboxRead();
   /// Passes the jobs and their progress on to the dispatcher.
   void LoadJobs();
+  /// Begins to start tasks and to follow the changes of the inbox.
   void BeginServing(MonotonicTime aNow);
 
   // The inbox (ShardInbox.cpp).
@@ -112,6 +113,7 @@
   void ApplyRunners();
   /// Sends a lease renewal to a runner.
   void Renew(dispatch::RunnerIndex aRunner, MonotonicTime aNow);
+  /// Handles the answer of a runner to a renewal, or that there was none.
   /// @param aSentAt          when the renewal was sent
   /// @param aLongPollTimeout how long the runner could delay its answer
   void HandleRenewal(dispatch::RunnerIndex aRunner,
@@ -132,6 +134,7 @@
   /// to which its runner throttles it.
   void PerformPace(const dispatch::PaceTask& aPace);
   RunnerTarget TargetOf(dispatch::RunnerIndex aRunner) const;
+  /// @return the state of the runner's renewals, which is added if it is new
   RunnerRenewal& RenewalOf(dispatch::RunnerIndex aRunner);
 
   // Progress (ShardCommits.cpp).
@@ -143,9 +146,11 @@
   /// @return the value that the next transaction writes to the commit sequence
   ///         row; it differs for each transaction
   [[nodiscard]] std::string NextSequenceValue() const;
+  /// Handles the result of the transaction in flight.
   void HandleTransaction(const TransactionOutcome& aOutcome);
   /// Stores the list of runners that the shard's tasks may use.
   void StoreRunners();
+  /// Lets the dispatcher use the runners of the list that has been stored.
   void HandleRunnersStored();
   /// @return whether the stored list of runners must be replaced, because the
   ///         record of what a silent runner may run has to be added, removed or
--- a/Services/Node/NodeProcess.cpp
+++ b/Services/Node/NodeProcess.cpp
@@ -60,14 +60,14 @@
   boost::asio::signal_set mSignals{ mLoop, SIGTERM, SIGINT, SIGHUP };
   Deadlines mDeadlines;
   platform::Settings mSettings;
-  std::string mPath;
+  std::string mPath; ///< Of the settings file.
   EventLog mLog;
   Metrics mMetrics;
   NodeContext mContext;
   platform::StoreClient mStore;
   platform::RunnerClient mRunners;
-  AsyncHttpServer mClients;
-  AsyncHttpServer mReadiness;
+  AsyncHttpServer mClients;   ///< Serves the requests of clients.
+  AsyncHttpServer mReadiness; ///< Serves readiness checks and metrics.
   std::unique_ptr<Node> mNode;
   /// Version of the configuration whose limits the client server uses.
   std::int64_t mLimitsVersion = 0;
--- a/Services/Node/main.cpp
+++ b/Services/Node/main.cpp
@@ -13,8 +13,9 @@
   CLI::App app("Runs one savorypaddle node on the platform.");
   std::string path = paddle::platform::SettingsPath();
   bool checkOnly = false;
-  app.add_option(
-    "--settings", path, "settings file; the platform names it otherwise");
+  app.add_option("--settings",
+                 path,
+                 "settings file; default: the file that the platform names");
   app.add_flag("--check", checkOnly, "read the settings, report, and exit");
   CLI11_PARSE(app, aCount, aArguments);
   if (path.empty()) {
--- a/Tests/LibDispatch/TestRunners.cpp
+++ b/Tests/LibDispatch/TestRunners.cpp
@@ -14,7 +14,7 @@
 FailFourJobs(DispatchWorld& aWorld)
 {
   for (int i = 0; i < 4; ++i) {
-    const std::string job = "bad" + std::to_string(i);
+    const std::string job = "failing" + std::to_string(i);
     aWorld.AddJob(MakeJob(job, { FiniteStep(1, 1000) }));
     aWorld.AdvanceTime(Millis(100));
     aWorld.End(job + ".0.0.0", EndKind::Failed);
@@ -150,11 +150,12 @@
   DispatchWorld world;
   world.ListRunners(1);
   for (int i = 0; i < 9; ++i) {
-    world.AddJob(MakeJob("bad" + std::to_string(i), { FiniteStep(1, 1000) }));
+    world.AddJob(
+      MakeJob("failing" + std::to_string(i), { FiniteStep(1, 1000) }));
   }
   world.AdvanceTime(Millis(100));
   for (int i = 0; i < 9; ++i) {
-    world.End("bad" + std::to_string(i) + ".0.0.0", EndKind::Failed);
+    world.End("failing" + std::to_string(i) + ".0.0.0", EndKind::Failed);
   }
   world.Report();
   const Runner& runner = world.mDispatcher.mRunners[0];
@@ -174,7 +175,7 @@
   world.AddJob(MakeJob("long-running", { LongRunningStep(1, 1000) }));
   world.AdvanceTime(Seconds(4));
   for (int i = 0; i < 4; ++i) {
-    const std::string job = "bad" + std::to_string(i);
+    const std::string job = "failing" + std::to_string(i);
     world.AddJob(MakeJob(job, { FiniteStep(1, 1000) }));
     world.AdvanceTime(Millis(100));
     world.End(job + ".0.0.0", EndKind::Failed);
--- a/Tests/LibNode/FakeStore.cpp
+++ b/Tests/LibNode/FakeStore.cpp
@@ -179,8 +179,8 @@
   }
   // Answers lead to further calls. Their number is limited, because calls that
   // are refused are repeated without end.
-  constexpr int kMostRounds = 50;
-  for (int round = 0; round < kMostRounds; ++round) {
+  constexpr int kMaxRounds = 50;
+  for (int round = 0; round < kMaxRounds; ++round) {
     std::deque<std::function<void()>> calls = std::move(mCalls);
     mCalls.clear();
     for (const std::function<void()>& call : calls) {
