--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -2,11 +2,11 @@
 
 #include <atomic>
 
-#include <LibGateway/KeyBook.h>
+#include <LibGateway/IdempotencyKeyStore.h>
 #include <LibGateway/PeerExchange.h>
 #include <LibGateway/Prober.h>
 #include <LibGateway/RecordWriter.h>
-#include <LibGateway/RequestPath.h>
+#include <LibGateway/RequestHandler.h>
 #include <LibGateway/RoutingThread.h>
 #include <LibGateway/RunnerFollower.h>
 #include <LibGateway/WatchPool.h>
@@ -19,21 +19,23 @@
 constexpr std::string_view kHealthPath = "/savorypaddle/health";
 constexpr std::string_view kMetricsPath = "/savorypaddle/metrics";
 
+/// @return the settings of the client that calls runners and peers
 HttpClientSettings
 ClientSettings(const GatewaySettings& aSettings)
 {
   HttpClientSettings settings;
   settings.mUserAgent = "savorypaddle/" + aSettings.mSelf.mName;
-  // As many as a runner has slots: with those in use it stays far below the
-  // 64 connections of a runner, also after its owner has changed.
+  // As many idle connections as a runner has slots. Together with the
+  // connections in use they stay far below the limit of 64 connections per
+  // runner, also while a runner's shard changes its owner.
   settings.mMaxIdlePerEndpoint = 8;
   return settings;
 }
 
 } // namespace
 
-/// Members are destroyed in reverse order: first what posts events, last what
-/// it refers to.
+/// The components of a gateway. Members are destroyed in reverse order, so the
+/// components that post events come after those that they refer to.
 struct Gateway::State
 {
   State(GatewaySettings aSettings, GatewayPorts aPorts, RoutingPolicy aPolicy)
@@ -48,14 +50,14 @@
         [this](std::string_view aService) { return HealthPathOf(aService); },
         [this](const ProbeEnded& aEnd) { mRouting.Post(aEnd); })
     , mRouting(mSettings, aPolicy, Outputs())
-    , mPath(mSettings,
-            mPorts,
-            mClient,
-            mRouting,
-            mKeys,
-            mWatches,
-            mRecords,
-            mMetrics)
+    , mHandler(mSettings,
+               mPorts,
+               mClient,
+               mRouting,
+               mKeys,
+               mWatches,
+               mRecords,
+               mMetrics)
     , mFollower(mSettings, mPorts, mRouting)
     , mPeers(mSettings, mPorts, mClient, mRouting, mKeys)
   {
@@ -63,20 +65,25 @@
 
   ~State()
   {
-    // Their threads use members that are destroyed before they are.
+    // The threads of these components use members that are destroyed earlier
+    // than the components themselves, so they are stopped first.
     mWatches.Drain();
     mWatches.Wait();
     mProber.Stop();
   }
 
+  /// @return the receivers of decision records and health probes
   RoutingOutputs Outputs()
   {
-    return {
-      [this](RequestRecord aRecord) { mRecords.Add(std::move(aRecord)); },
-      [this](ProbeOrder aOrder) { return mProber.TryOrder(std::move(aOrder)); }
-    };
+    return { [this](RequestRecord aRecord) {
+              mRecords.Add(std::move(aRecord));
+            },
+             [this](ProbeRequest aRequest) {
+               return mProber.TryEnqueue(std::move(aRequest));
+             } };
   }
 
+  /// @return the path of a service's health checks, "/" if it is not known
   std::string HealthPathOf(std::string_view aService) const
   {
     const auto configuration = mPorts.mConfiguration();
@@ -93,11 +100,11 @@
   Metrics mMetrics;
   HttpClient mClient;
   RecordWriter mRecords;
-  KeyBook mKeys;
+  IdempotencyKeyStore mKeys;
   Prober mProber;
   RoutingThread mRouting;
   WatchPool mWatches;
-  RequestPath mPath;
+  RequestHandler mHandler;
   RunnerFollower mFollower;
   PeerExchange mPeers;
   std::atomic<bool> mLeaving{ false };
@@ -134,7 +141,7 @@
                       { { "Content-Type", "text/plain" } },
                       mState->mMetrics.Page() };
   }
-  return mState->mPath.Handle(aRequest);
+  return mState->mHandler.Handle(aRequest);
 }
 
 RpcMethods
@@ -164,7 +171,7 @@
 void
 Gateway::RefuseRequests()
 {
-  mState->mPath.Close();
+  mState->mHandler.RefuseRequests();
 }
 
 unsigned
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -12,39 +12,44 @@
 
 namespace paddle {
 
-/// One gateway without its server: everything between a request and its
-/// answer.
+/// One gateway without its HTTP server. It receives parsed requests of callers
+/// and peers, routes them to runners, and returns the replies.
 class Gateway
 {
 public:
-  /// Starts the gateway's threads.
-  /// @return an error if no policy has the name in the settings
+  /// Creates a gateway and starts its threads.
+  /// @return an error if no routing policy is registered under the name in
+  ///         the settings
   static Outcome<std::unique_ptr<Gateway>> Start(GatewaySettings aSettings,
                                                  GatewayPorts aPorts);
 
-  /// Stops the threads. No request may be in flight but abandoned watches.
+  /// Stops the threads and waits for abandoned watches. No other request may
+  /// be in flight.
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  /// Answers callers and peers, except on the path of RPC.
+  /// Answers one request of a caller or a peer, including those for health
+  /// and metrics. RPC calls go to Methods() instead.
   HttpReply Handle(const HttpRequest& aRequest);
 
-  /// The RPC methods that peers call.
+  /// @return the RPC methods that peers call
   [[nodiscard]] RpcMethods Methods();
 
-  /// See LeaseKeeper::SetQuiescent().
+  /// @return whether no work of a shard is in flight, see
+  ///         LeaseKeeper::SetQuiescent()
   [[nodiscard]] bool Quiescent(std::string_view aShard) const;
 
-  /// From now on the health page says "leaving", and watches get a complete
-  /// answer. Other requests are still served.
+  /// Begins the shutdown: the health page reports "leaving" from now on, and
+  /// all watches are answered at once with a request to watch again. Other
+  /// requests are still served.
   void StartLeaving();
 
-  /// From now on requests are refused, not run.
+  /// Refuses all requests that arrive from now on; none of them is run.
   void RefuseRequests();
 
-  /// @return the number of watches that runners still hold although their
-  ///         callers have an answer
+  /// @return the number of watches that runners still hold after
+  ///         StartLeaving() has answered their callers
   [[nodiscard]] unsigned AbandonedWatches() const;
 
 private:
--- a/Libraries/LibGateway/GatewayMessage.cpp
+++ b/Libraries/LibGateway/GatewayMessage.cpp
@@ -9,6 +9,7 @@
 
 namespace {
 
+/// @return whether two header names are equal; their case does not matter
 bool
 SameName(std::string_view aLeft, std::string_view aRight)
 {
@@ -16,35 +17,37 @@
          strncasecmp(aLeft.data(), aRight.data(), aLeft.size()) == 0;
 }
 
+/// @return whether a header may be forwarded, see ForwardableHeaders()
 bool
-IsPassed(std::string_view aName)
+IsForwardable(std::string_view aName)
 {
-  constexpr std::string_view kOwn[] = { "Connection",
-                                        "Keep-Alive",
-                                        "Transfer-Encoding",
-                                        "Content-Length",
-                                        "Host",
-                                        "User-Agent",
-                                        "Proxy-Connection",
-                                        "TE",
-                                        "Trailer",
-                                        "Upgrade",
-                                        "Expect",
-                                        kRequestIdHeader,
-                                        kOutcomeHeader,
-                                        kDeadlineHeader,
-                                        kCustomerHeader,
-                                        kKeyHeader,
-                                        kForwardedHeader,
-                                        "Server",
-                                        "Date" };
+  constexpr std::string_view kNotForwarded[] = { "Connection",
+                                                 "Keep-Alive",
+                                                 "Transfer-Encoding",
+                                                 "Content-Length",
+                                                 "Host",
+                                                 "User-Agent",
+                                                 "Proxy-Connection",
+                                                 "TE",
+                                                 "Trailer",
+                                                 "Upgrade",
+                                                 "Expect",
+                                                 kRequestIdHeader,
+                                                 kOutcomeHeader,
+                                                 kDeadlineHeader,
+                                                 kClientAccountHeader,
+                                                 kKeyHeader,
+                                                 kForwardedHeader,
+                                                 "Server",
+                                                 "Date" };
   return std::none_of(
-    std::begin(kOwn), std::end(kOwn), [&](std::string_view aOwn) {
-      return SameName(aOwn, aName);
-    });
+    std::begin(kNotForwarded),
+    std::end(kNotForwarded),
+    [&](std::string_view aExcluded) { return SameName(aExcluded, aName); });
 }
 
-/// A refusal that a repeat in a moment may avoid is 429, others are 503.
+/// @return the HTTP status of a refusal: 429 if the request may succeed when
+///         it is repeated after a moment, otherwise 503
 unsigned
 StatusOf(Rule aRule)
 {
@@ -62,25 +65,26 @@
 } // namespace
 
 HttpHeaders
-PassedHeaders(const HttpHeaders& aHeaders)
+ForwardableHeaders(const HttpHeaders& aHeaders)
 {
   HttpHeaders passed;
-  std::copy_if(aHeaders.begin(),
-               aHeaders.end(),
-               std::back_inserter(passed),
-               [](const auto& aHeader) { return IsPassed(aHeader.first); });
+  std::copy_if(
+    aHeaders.begin(),
+    aHeaders.end(),
+    std::back_inserter(passed),
+    [](const auto& aHeader) { return IsForwardable(aHeader.first); });
   return passed;
 }
 
 bool
-IsOwnAnswer(const HttpReply& aReply,
-            std::string_view aMethod,
-            std::string_view aRequestId,
-            std::string& aWhy)
+IsMatchingReply(const HttpReply& aReply,
+                std::string_view aMethod,
+                std::string_view aRequestId,
+                std::string& aProblem)
 {
   const std::string_view id = FindHeader(aReply.mHeaders, kRequestIdHeader);
   if (!id.empty() && id != aRequestId) {
-    aWhy = "the answer carries another request's id";
+    aProblem = "the answer carries another request's id";
     return false;
   }
   const bool bodiless =
@@ -91,24 +95,24 @@
   const std::string_view encoding =
     FindHeader(aReply.mHeaders, "Transfer-Encoding");
   if (SameName(encoding, "chunked")) {
-    return true; // The client reads up to the last chunk or fails.
+    return true; // HttpClient fails unless it has read the last chunk.
   }
   const std::string_view text = FindHeader(aReply.mHeaders, "Content-Length");
   std::size_t length = 0;
   const auto [end, code] =
     std::from_chars(text.data(), text.data() + text.size(), length);
   if (text.empty() || code != std::errc() || length != aReply.mBody.size()) {
-    aWhy = "the answer is incomplete";
+    aProblem = "the answer is incomplete";
     return false;
   }
   return true;
 }
 
-RequestEnd
-MakeEnd(const Explanation& aExplanation)
+ReplyWithOutcome
+MakeUnansweredReply(const Explanation& aExplanation)
 {
   const Rule rule = aExplanation.mRule;
-  RequestEnd end =
+  ReplyWithOutcome end =
     aExplanation.mKind == DecisionKind::Unknown
       ? MakeUnknown("", TextOf(rule))
       : MakeRefusal(StatusOf(rule),
@@ -118,7 +122,7 @@
   return end;
 }
 
-RequestEnd
+ReplyWithOutcome
 MakeRefusal(unsigned aStatus, const char* aRule, const std::string& aReason)
 {
   return { RequestOutcome::Refused,
@@ -128,7 +132,7 @@
            aRule };
 }
 
-RequestEnd
+ReplyWithOutcome
 MakeUnknown(const char* aRule, const std::string& aReason)
 {
   return { RequestOutcome::Unknown,
--- a/Libraries/LibGateway/GatewayMessage.h
+++ b/Libraries/LibGateway/GatewayMessage.h
@@ -8,69 +8,79 @@
 
 namespace paddle {
 
-/// What is known about the effect of a request, as the caller is told.
+/// What the caller is told about the effect of a request.
 enum class RequestOutcome
 {
-  Answered,
-  Refused, ///< Surely not run.
-  Unknown  ///< May have run.
+  Answered, ///< The reply is a complete answer to it.
+  Refused,  ///< It certainly did not run.
+  Unknown   ///< It may have run.
 };
 
-/// A reply together with its outcome.
-struct RequestEnd
+/// A reply to a caller together with the request's outcome.
+struct ReplyWithOutcome
 {
   RequestOutcome mOutcome = RequestOutcome::Refused;
   HttpReply mReply;
-  /// Rule of a decision that was made outside the routing core and has no
-  /// record yet; empty otherwise.
+  /// Name of the rule by which the request was decided outside LibRouting; a
+  /// decision record must still be written for it. Empty for decisions of
+  /// LibRouting, which are recorded already.
   std::string mRule;
 };
 
-/// Headers that this program gives a meaning to.
+/// Names of the headers that the gateway reads or sets.
 inline constexpr const char* kRequestIdHeader = "Paddle-Request-Id";
 inline constexpr const char* kOutcomeHeader = "Paddle-Outcome";
 inline constexpr const char* kDeadlineHeader = "Paddle-Deadline-Ms";
-inline constexpr const char* kCustomerHeader = "Paddle-Customer";
+inline constexpr const char* kClientAccountHeader = "Paddle-Customer";
 inline constexpr const char* kKeyHeader = "Idempotency-Key";
 inline constexpr const char* kWatchHeader = "Paddle-Watch";
-/// Set by a gateway that forwards: "key" to the owner of a key, "overflow" to
-/// a peer with free slots.
+/// Set by a gateway that forwards a request: "key" if it forwards to the owner
+/// of the idempotency key, "overflow" if it forwards to a peer with free slots.
 inline constexpr const char* kForwardedHeader = "Paddle-Forwarded";
 
-/// @return the headers that may be passed on: neither those of one connection
-///         nor those that this program sets itself
+/// @return the headers that may be forwarded: all but those that concern a
+///         single connection and those that the gateway sets itself
 HttpHeaders
-PassedHeaders(const HttpHeaders& aHeaders);
+ForwardableHeaders(const HttpHeaders& aHeaders);
 
-/// @return whether the reply is complete and belongs to the request; if not,
-///         @p aWhy says what is wrong
+/// Checks that a reply is complete and belongs to a request.
+/// @param aMethod    the request's method
+/// @param aRequestId the request's id, which the reply must not contradict
+/// @param aProblem   receives what is wrong if the check fails
 bool
-IsOwnAnswer(const HttpReply& aReply,
-            std::string_view aMethod,
-            std::string_view aRequestId,
-            std::string& aWhy);
+IsMatchingReply(const HttpReply& aReply,
+                std::string_view aMethod,
+                std::string_view aRequestId,
+                std::string& aProblem);
 
-/// @return the reply for a request that ends without an answer
-RequestEnd
-MakeEnd(const Explanation& aExplanation);
+/// @return the reply to a request for which LibRouting obtained no answer:
+///         a refusal, or a reply with unknown outcome if it may have run
+ReplyWithOutcome
+MakeUnansweredReply(const Explanation& aExplanation);
 
-/// @param aRule   name for the decision record
-/// @param aReason the rule in plain words
-RequestEnd
+/// Makes the reply to a request that was not run.
+/// @param aRule   name of the rule for the decision record; empty if the
+///                decision has a record already
+/// @param aReason the rule in plain words, for the caller
+ReplyWithOutcome
 MakeRefusal(unsigned aStatus, const char* aRule, const std::string& aReason);
 
-/// An end with unknown effect, see MakeRefusal().
-RequestEnd
+/// Makes the reply to a request that may have run; for the parameters see
+/// MakeRefusal().
+ReplyWithOutcome
 MakeUnknown(const char* aRule, const std::string& aReason);
 
-/// @return the outcome named in a peer's reply; Unknown if there is none
+/// @return the outcome that a peer's reply names in its header; Unknown if it
+///         names none
 RequestOutcome
 OutcomeOf(const HttpReply& aReply);
 
-/// Encodes a reply as one string of bytes, so that it can be stored.
+/// Encodes a reply as one string of bytes, so that it can be stored with its
+/// idempotency key.
 std::string
 EncodeReply(const HttpReply& aReply);
 
+/// Decodes a stored reply.
 /// @param aBytes must come from EncodeReply()
 HttpReply
 DecodeReply(std::string_view aBytes);
--- a/Libraries/LibGateway/GatewayPorts.h
+++ b/Libraries/LibGateway/GatewayPorts.h
@@ -13,8 +13,9 @@
 
 namespace paddle {
 
-/// What a gateway needs from the rest of the process. The daemon fills it
-/// from LeaseKeeper and ConfigFollower, a test from values of its own. All
+/// The functions through which a gateway uses the lease, the configuration,
+/// the host list and the object store. The daemon binds them to LeaseKeeper,
+/// ConfigFollower and RPC clients; tests bind them to a fake cluster. All
 /// functions may be called from several threads.
 struct GatewayPorts
 {
@@ -24,14 +25,14 @@
   std::function<std::optional<Member>(std::string_view aShard)> mOwnerOf;
   /// See LeaseKeeper::SuccessorOfSelf().
   std::function<std::optional<Member>()> mSuccessor;
-  /// The live gateways, this one included.
+  /// @return the live gateways, including this one
   std::function<std::vector<Member>()> mMembers;
   /// See LeaseKeeper::SetShards().
   std::function<void(std::vector<ShardSpec>)> mSetShards;
   /// See ConfigFollower::Current().
   std::function<std::shared_ptr<const Configuration>()> mConfiguration;
-  HostListPort mHosts;
-  ObjectPort mObjects;
+  HostListPort mHosts; ///< Lists the runners.
+  ObjectPort mObjects; ///< Stores the decision records.
 };
 
 } // namespace paddle
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -9,26 +9,30 @@
 
 namespace paddle {
 
-/// Settings of the gateway; the defaults suit every present deployment.
+/// Settings of one gateway.
 struct GatewaySettings
 {
-  Member mSelf;
+  Member mSelf; ///< This gateway as the other members see it.
+  /// Name under which the routing policy is registered.
   std::string mPolicy = "least-outstanding";
   RoutingSettings mRouting;
   KeySettings mKeys;
-  /// Arrivals beyond half of it are refused; the rest is kept for the ends of
-  /// requests, which must never be refused.
+  /// Number of events that the queue of the routing thread can hold. New
+  /// requests may fill half of it; the other half is reserved for events that
+  /// end a request, which must never be dropped.
   std::size_t mEventCapacity = 8192;
+  /// Number of decision records that may wait until they are stored.
   std::size_t mRecordCapacity = 65536;
-  /// Runner shards per service and data centre. Fixed, because a runner must
-  /// not change its shard when others come or go.
+  /// Number of runner shards per service and data centre. The number is
+  /// fixed, because a runner must not change its shard when other runners are
+  /// added or removed.
   std::uint32_t mShardsPerDataCentre = 8;
-  Millis mHostInterval{ 1000 };
-  Millis mOwnerInterval{ 50 }; ///< Between looks at the shard ownership.
-  Millis mSummaryInterval{ 100 };
-  Millis mPeerTimeout{ 300 }; ///< Of RPC calls between gateways.
-  Millis mProbeTimeout{ 500 };
-  Millis mRecordInterval{ 1000 };
+  Millis mHostListInterval{ 1000 }; ///< Between reads of the host list.
+  Millis mOwnershipInterval{ 50 };  ///< Between checks of shard ownership.
+  Millis mSummaryInterval{ 100 };   ///< Between summaries sent to peers.
+  Millis mPeerTimeout{ 300 };       ///< Of an RPC call between gateways.
+  Millis mProbeTimeout{ 500 };      ///< Of one health probe of a runner.
+  Millis mRecordInterval{ 1000 };   ///< Between stores of decision records.
 };
 
 } // namespace paddle
--- a/Libraries/LibGateway/KeyBook.cpp
+++ b/Libraries/LibGateway/IdempotencyKeyStore.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/KeyBook.h>
+#include <LibGateway/IdempotencyKeyStore.h>
 
 #include <LibBase/Log.h>
 #include <LibGateway/Codec/Base64.h>
@@ -16,7 +16,8 @@
   return std::chrono::steady_clock::now();
 }
 
-/// @return the shard number of a call's parameters, if it is valid
+/// @return the key shard number in the parameters of an RPC call, or nothing
+///         if it is out of range
 std::optional<std::uint32_t>
 NumberOf(const Json::Value& aParameters)
 {
@@ -27,6 +28,7 @@
   return number;
 }
 
+/// @return the name of an acquisition in log lines
 const char*
 NameOf(Acquisition aAcquisition)
 {
@@ -51,10 +53,10 @@
 
 } // namespace
 
-KeyBook::KeyBook(const GatewaySettings& aSettings,
-                 const GatewayPorts& aPorts,
-                 HttpClient& aClient,
-                 Metrics& aMetrics)
+IdempotencyKeyStore::IdempotencyKeyStore(const GatewaySettings& aSettings,
+                                         const GatewayPorts& aPorts,
+                                         HttpClient& aClient,
+                                         Metrics& aMetrics)
   : mSettings(aSettings)
   , mPorts(aPorts)
   , mClient(aClient)
@@ -65,14 +67,14 @@
   }
 }
 
-KeyBook::Shard&
-KeyBook::ShardOf(const std::string& aKey)
+IdempotencyKeyStore::Shard&
+IdempotencyKeyStore::ShardOf(const std::string& aKey)
 {
   return mShards[KeyShardOf(aKey)];
 }
 
-KeyAnswer
-KeyBook::Begin(const std::string& aKey, MonotonicTime aDeadline)
+KeyAdmission
+IdempotencyKeyStore::Begin(const std::string& aKey, MonotonicTime aDeadline)
 {
   const std::uint32_t number = KeyShardOf(aKey);
   Shard& shard = mShards[number];
@@ -91,13 +93,13 @@
       }
       continue;
     }
-    KeyAnswer answer{ decision, nullptr, false, false };
+    KeyAdmission answer{ decision, nullptr, false, false };
     if (decision == KeyDecision::Replay) {
-      answer.mStored = shard.mMemory.mEntries.find(aKey)->second.mAnswer;
+      answer.mStoredReply = shard.mMemory.mEntries.find(aKey)->second.mAnswer;
     }
     if (decision == KeyDecision::Run) {
       ++shard.mRunning;
-      if (!CopyStarted(aKey, shard, lock)) {
+      if (!CopyStartedKey(aKey, shard, lock)) {
         --shard.mRunning;
         ForgetKey(shard.mMemory, aKey);
         shard.mChanged.notify_all();
@@ -109,7 +111,7 @@
 }
 
 void
-KeyBook::Finish(const std::string& aKey, std::string aAnswer)
+IdempotencyKeyStore::Finish(const std::string& aKey, std::string aAnswer)
 {
   Shard& shard = ShardOf(aKey);
   {
@@ -120,11 +122,11 @@
               Now());
     shard.mChanged.notify_all();
   }
-  CopyEnd(aKey, shard);
+  CopyFinishedKey(aKey, shard);
 }
 
 void
-KeyBook::EndUnknown(const std::string& aKey)
+IdempotencyKeyStore::EndUnknown(const std::string& aKey)
 {
   Shard& shard = ShardOf(aKey);
   {
@@ -132,11 +134,11 @@
     MarkKeyUnknown(shard.mMemory, aKey, Now());
     shard.mChanged.notify_all();
   }
-  CopyEnd(aKey, shard);
+  CopyFinishedKey(aKey, shard);
 }
 
 void
-KeyBook::EndNotRun(const std::string& aKey)
+IdempotencyKeyStore::EndNotRun(const std::string& aKey)
 {
   Shard& shard = ShardOf(aKey);
   {
@@ -144,11 +146,11 @@
     ForgetKey(shard.mMemory, aKey);
     shard.mChanged.notify_all();
   }
-  CopyEnd(aKey, shard);
+  CopyFinishedKey(aKey, shard);
 }
 
 void
-KeyBook::Tend()
+IdempotencyKeyStore::Maintain()
 {
   for (std::uint32_t number = 0; number < kKeyShards; ++number) {
     const auto owned = mPorts.mOwns(KeyShardId(number));
@@ -163,35 +165,38 @@
 }
 
 bool
-KeyBook::Quiescent(std::string_view aShard)
+IdempotencyKeyStore::Quiescent(std::string_view aShard)
 {
   for (std::uint32_t number = 0; number < kKeyShards; ++number) {
     if (KeyShardId(number) == aShard) {
       Shard& shard = mShards[number];
       Lock lock(shard.mMutex);
-      // A successor may have to pass a shard on at once.
-      shard.mGivenUnadopted = shard.mEpoch <= shard.mCopyEpoch;
+      // A successor may have to hand a shard over before it has adopted it.
+      shard.mHandedOverUnadopted = shard.mEpoch <= shard.mCopyEpoch;
       return shard.mRunning == 0;
     }
   }
   return true;
 }
 
-/// Applies what this process may assume as the new owner of a shard.
+/// Prepares the memory of a shard for a new ownership: obtains the keys of the
+/// previous owner, or marks the memory as incomplete if they can't be obtained.
+/// Does nothing if the shard is prepared for this epoch already.
 void
-KeyBook::Adopt(std::uint32_t aNumber,
-               Shard& aShard,
-               const Ownership& aOwnership)
+IdempotencyKeyStore::Adopt(std::uint32_t aNumber,
+                           Shard& aShard,
+                           const Ownership& aOwnership)
 {
   if (aShard.mEpoch == aOwnership.mEpoch) {
     return;
   }
-  aShard.mGivenUnadopted = false;
+  aShard.mHandedOverUnadopted = false;
   if (aShard.mEpoch != 0 && aShard.mEpoch + 1 == aOwnership.mEpoch) {
-    // A session of this process ended and its next one took the shard: nobody
-    // else has owned it since, so the memory is as complete as it was.
+    // A session of this process ended, and its next session acquired the
+    // shard. No other process owned it in between, so the memory is as
+    // complete as it was.
     aShard.mEpoch = aOwnership.mEpoch;
-    aShard.mSyncedTo.reset();
+    aShard.mSyncedHolder.reset();
     return;
   }
   const bool hasCopy =
@@ -202,7 +207,7 @@
   const KeyCopies copies = found ? KeyCopies::Synced : KeyCopies::Missing;
   AdoptKeys(aShard.mMemory, aOwnership.mAcquisition, copies, Now());
   aShard.mEpoch = aOwnership.mEpoch;
-  aShard.mSyncedTo.reset();
+  aShard.mSyncedHolder.reset();
   if (aShard.mMemory.mCompleteness == KeyCompleteness::Incomplete) {
     LogEvent(LogLevel::Warning,
              "key_memory_incomplete",
@@ -213,22 +218,29 @@
   }
 }
 
-/// Finds the memory that the owner before this one had at @p aEpoch: with
-/// that owner, or, if it has left already, in a complete copy.
-/// @return whether it was found
+/// Obtains the keys that the previous owner held in @p aEpoch: from that owner
+/// or, if it has left already, from a complete copy in this process or at a
+/// peer.
+/// @return whether they were found
 bool
-KeyBook::FetchKeys(std::uint32_t aNumber, Shard& aShard, std::uint64_t aEpoch)
+IdempotencyKeyStore::FetchKeys(std::uint32_t aNumber,
+                               Shard& aShard,
+                               std::uint64_t aEpoch)
 {
   return FetchFromPeers(aNumber, aShard, aEpoch, "owner") ||
          (aEpoch != 0 && aShard.mCopyEpoch == aEpoch) ||
          FetchFromPeers(aNumber, aShard, aEpoch, "copy");
 }
 
+/// Asks the peers one after the other for the keys of a shard and epoch.
+/// @param aHolder "owner" to ask for the keys of an owner, "copy" to ask for a
+///                copy of them
+/// @return whether a peer had them; they are in the shard's memory then
 bool
-KeyBook::FetchFromPeers(std::uint32_t aNumber,
-                        Shard& aShard,
-                        std::uint64_t aEpoch,
-                        const char* aHolder)
+IdempotencyKeyStore::FetchFromPeers(std::uint32_t aNumber,
+                                    Shard& aShard,
+                                    std::uint64_t aEpoch,
+                                    const char* aHolder)
 {
   Json::Value parameters(Json::objectValue);
   parameters["shard"] = aNumber;
@@ -251,38 +263,39 @@
   return false;
 }
 
-/// @return who must have a copy of each key: the named successor, or the one
-///         before it. A process that leaves names no successor, but the new
-///         owners of its shards rely on the copy until then.
+/// @return the member that must hold a copy of each key, if there is one: the
+///         named successor. A process that leaves names no successor any more;
+///         the member that holds the latest complete copy stays in charge
+///         then, because the new owners of the shards rely on its copy.
 std::optional<Member>
-KeyBook::CopyHolder(const Shard& aShard) const
+IdempotencyKeyStore::CopyHolder(const Shard& aShard) const
 {
   auto successor = mPorts.mSuccessor();
-  if (successor || !aShard.mSyncedTo) {
+  if (successor || !aShard.mSyncedHolder) {
     return successor;
   }
   for (const Member& member : mPorts.mMembers()) {
-    if (member.mIncarnation == aShard.mSyncedTo->mIncarnation) {
+    if (member.mIncarnation == aShard.mSyncedHolder->mIncarnation) {
       return member;
     }
   }
   return std::nullopt;
 }
 
-/// Gives the copy holder a complete copy unless it has one. The shard's lock
-/// is held during the call, so that no key starts between the copy and its
-/// mark.
-/// @return whether the holder, if there is one, has a complete copy
+/// Sends a complete copy of a shard to the copy holder unless it has one. The
+/// shard's mutex is held during the call, so that no key starts between the
+/// making of the copy and the setting of mSyncedHolder.
+/// @return whether the holder has a complete copy; true if there is no holder
 bool
-KeyBook::EnsureSynced(std::uint32_t aNumber, Shard& aShard)
+IdempotencyKeyStore::EnsureSynced(std::uint32_t aNumber, Shard& aShard)
 {
   const auto holder = CopyHolder(aShard);
   if (!holder) {
-    aShard.mSyncedTo.reset();
+    aShard.mSyncedHolder.reset();
     return true;
   }
-  if (aShard.mSyncedTo &&
-      aShard.mSyncedTo->mIncarnation == holder->mIncarnation) {
+  if (aShard.mSyncedHolder &&
+      aShard.mSyncedHolder->mIncarnation == holder->mIncarnation) {
     return true;
   }
   Json::Value parameters(Json::objectValue);
@@ -292,25 +305,29 @@
   if (!Call(holder->mAddress, "gateway.key_sync", parameters)) {
     return false;
   }
-  aShard.mSyncedTo = holder;
+  aShard.mSyncedHolder = holder;
   return true;
 }
 
-/// Sends a started key to the copy holder before the request goes out.
-/// @return whether the holder, if there is one, has the key
+/// Sends a started key to the copy holder before its request is sent to a
+/// runner. The shard's mutex, which @p aLock holds, may be released during the
+/// call.
+/// @return whether the holder has the key; true if there is no holder
 bool
-KeyBook::CopyStarted(const std::string& aKey, Shard& aShard, Lock& aLock)
+IdempotencyKeyStore::CopyStartedKey(const std::string& aKey,
+                                    Shard& aShard,
+                                    Lock& aLock)
 {
   const std::uint32_t number = KeyShardOf(aKey);
   const auto holder = CopyHolder(aShard);
   if (!holder) {
-    // A takeover can then come only from a process that treats all keys
-    // without an entry as unknown.
+    // Without a copy, a process that takes the shard over treats every key
+    // that has no entry as unknown, so the key can't run twice.
     return true;
   }
-  if (!aShard.mSyncedTo ||
-      aShard.mSyncedTo->mIncarnation != holder->mIncarnation) {
-    return EnsureSynced(number, aShard); // Includes this key.
+  if (!aShard.mSyncedHolder ||
+      aShard.mSyncedHolder->mIncarnation != holder->mIncarnation) {
+    return EnsureSynced(number, aShard); // The copy includes this key.
   }
   Json::Value parameters(Json::objectValue);
   parameters["shard"] = number;
@@ -323,14 +340,15 @@
   if (copied) {
     return true;
   }
-  // The holder may have lost its copy; a complete one includes this key.
-  aShard.mSyncedTo.reset();
+  // The holder may have lost its copy. A new complete copy includes this key.
+  aShard.mSyncedHolder.reset();
   return EnsureSynced(number, aShard);
 }
 
-/// Sends the end of a key to the copy holder and counts the request as ended.
+/// Sends the end of a key's request to the copy holder, and then counts the
+/// request as no longer running.
 void
-KeyBook::CopyEnd(const std::string& aKey, Shard& aShard)
+IdempotencyKeyStore::CopyFinishedKey(const std::string& aKey, Shard& aShard)
 {
   Json::Value parameters(Json::objectValue);
   std::optional<Member> holder;
@@ -351,16 +369,18 @@
   Lock lock(aShard.mMutex);
   --aShard.mRunning;
   if (!copied) {
-    aShard.mSyncedTo.reset(); // Tend() sends a complete copy.
+    aShard.mSyncedHolder.reset(); // Maintain() sends a new complete copy.
   }
 }
 
+/// Calls an RPC method of a peer, and counts and logs a failure.
+/// @return whether the call succeeded
 bool
-KeyBook::Call(const Endpoint& aPeer,
-              const char* aMethod,
-              const Json::Value& aParameters)
+IdempotencyKeyStore::Call(const Endpoint& aPeer,
+                          const char* aMethod,
+                          const Json::Value& aParameters)
 {
-  // A second delivery does no harm: it sets the same entry again.
+  // A call that is delivered twice does no harm: it sets the same entry again.
   const auto answer =
     CallRpc(mClient, aPeer, aMethod, aParameters, mSettings.mPeerTimeout);
   if (!Succeeded(answer)) {
@@ -373,7 +393,7 @@
 }
 
 RpcMethods
-KeyBook::Methods()
+IdempotencyKeyStore::Methods()
 {
   return {
     { "gateway.key_started",
@@ -387,8 +407,9 @@
   };
 }
 
+/// Answers the RPC method gateway.key_started: adds a started key to the copy.
 Outcome<Json::Value>
-KeyBook::HandleStarted(const Json::Value& aParameters)
+IdempotencyKeyStore::HandleStarted(const Json::Value& aParameters)
 {
   const auto number = NumberOf(aParameters);
   if (!number) {
@@ -398,16 +419,18 @@
   Lock lock(shard.mMutex);
   const std::uint64_t epoch = aParameters["epoch"].asUInt64();
   if (shard.mCopyEpoch != epoch || shard.mEpoch > epoch) {
-    // Not confirmed: this process has no complete copy of that epoch, or is
-    // the owner by now.
+    // This process has no complete copy of that epoch, or owns the shard by
+    // now, so it must not confirm the key.
     return Error{ ErrorKind::Conflict, "no complete copy of this epoch here" };
   }
   ApplyKeyEntry(shard.mMemory, aParameters["entry"], Now());
   return Json::Value(Json::objectValue);
 }
 
+/// Answers the RPC method gateway.key_finished: updates the copy of a key whose
+/// request has ended, or removes it if the request did not run.
 Outcome<Json::Value>
-KeyBook::HandleFinished(const Json::Value& aParameters)
+IdempotencyKeyStore::HandleFinished(const Json::Value& aParameters)
 {
   const auto number = NumberOf(aParameters);
   if (!number) {
@@ -427,8 +450,10 @@
   return Json::Value(Json::objectValue);
 }
 
+/// Answers the RPC method gateway.key_sync: replaces the copy of a shard by a
+/// complete one.
 Outcome<Json::Value>
-KeyBook::HandleSync(const Json::Value& aParameters)
+IdempotencyKeyStore::HandleSync(const Json::Value& aParameters)
 {
   const auto number = NumberOf(aParameters);
   if (!number) {
@@ -445,12 +470,15 @@
   ApplyKeyMemory(memory, aParameters, Now());
   shard.mMemory = std::move(memory);
   shard.mCopyEpoch = epoch;
-  shard.mGivenUnadopted = false;
+  shard.mHandedOverUnadopted = false;
   return Json::Value(Json::objectValue);
 }
 
+/// Answers the RPC method gateway.key_fetch: returns the keys of a shard if
+/// this process holds those of the epoch asked for, as owner or as a copy. The
+/// answer has no member "entries" if it does not.
 Outcome<Json::Value>
-KeyBook::HandleFetch(const Json::Value& aParameters)
+IdempotencyKeyStore::HandleFetch(const Json::Value& aParameters)
 {
   const auto number = NumberOf(aParameters);
   if (!number) {
@@ -461,7 +489,7 @@
   Json::Value answer(Json::objectValue);
   const bool asOwner = aParameters["holder"].asString() == "owner";
   const std::uint64_t epoch = aParameters["epoch"].asUInt64();
-  const bool unadopted = asOwner && shard.mGivenUnadopted &&
+  const bool unadopted = asOwner && shard.mHandedOverUnadopted &&
                          epoch == shard.mCopyEpoch + 1 && shard.mEpoch < epoch;
   if (epoch != 0 &&
       (unadopted || epoch == (asOwner ? shard.mEpoch : shard.mCopyEpoch))) {
--- a/Libraries/LibGateway/KeyCopy.cpp
+++ b/Libraries/LibGateway/KeyCopy.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+/// @return the name of a state in messages between gateways
 const char*
 NameOf(KeyState aState)
 {
@@ -20,6 +21,7 @@
   return "unknown";
 }
 
+/// @return the state with a name; names that are not known count as unknown
 KeyState
 StateOf(const std::string& aName)
 {
@@ -37,10 +39,12 @@
                MonotonicTime aNow)
 {
   Json::Value encoded(Json::objectValue);
-  // Keys are opaque bytes from callers.
+  // Callers choose keys freely, so a key may contain bytes that JSON can't
+  // carry.
   encoded["key"] = ToBase64(aKey);
   encoded["state"] = NameOf(aEntry.mState);
-  // A span of time, because clocks of different processes don't compare.
+  // The remaining time instead of the time of expiry, because the monotonic
+  // clocks of different hosts can't be compared.
   encoded["leftMs"] = Json::Int64(
     std::chrono::duration_cast<Millis>(aEntry.mExpires - aNow).count());
   if (aEntry.mAnswer) {
--- a/Libraries/LibGateway/KeyCopy.h
+++ b/Libraries/LibGateway/KeyCopy.h
@@ -7,25 +7,30 @@
 
 namespace paddle {
 
-/// @return an entry as gateways exchange it
+/// Encodes the entry of one idempotency key for another gateway.
+/// @param aNow the present time; the expiry is encoded relative to it
+/// @return the entry as JSON
 Json::Value
 EncodeKeyEntry(const std::string& aKey,
                const KeyEntry& aEntry,
                MonotonicTime aNow);
 
-/// Puts an entry from EncodeKeyEntry() into a memory.
+/// Adds an entry that EncodeKeyEntry() encoded to a memory; replaces an earlier
+/// entry of the same key.
 void
 ApplyKeyEntry(KeyMemory& aMemory,
               const Json::Value& aEncoded,
               MonotonicTime aNow);
 
-/// Adds all entries of a memory, and how complete it is, to @p aOut.
+/// Encodes all entries of a memory and whether it is complete.
+/// @param aOut the JSON object to which they are added
 void
 EncodeKeyMemory(const KeyMemory& aMemory,
                 MonotonicTime aNow,
                 Json::Value& aOut);
 
-/// Adds what EncodeKeyMemory() encoded to a memory.
+/// Adds the entries that EncodeKeyMemory() encoded to a memory and sets its
+/// completeness.
 void
 ApplyKeyMemory(KeyMemory& aMemory,
                const Json::Value& aEncoded,
--- a/Libraries/LibGateway/Mailbox.h
+++ b/Libraries/LibGateway/Mailbox.h
@@ -11,40 +11,41 @@
 
 namespace paddle {
 
-/// Send the request to this runner.
+/// Tells the HTTP thread to send the request to a runner.
 struct RunnerCommand
 {
   Endpoint mRunner;
-  std::string mShard;
-  std::uint64_t mEpoch = 0;
-  MonotonicTime mTryEnds{};
+  std::string mShard;       ///< The shard that the runner belongs to.
+  std::uint64_t mEpoch = 0; ///< Of the shard when the slot was assigned.
+  MonotonicTime mTryEnds{}; ///< When to stop waiting for the answer.
 };
 
-/// Forward the request to this peer.
+/// Tells the HTTP thread to forward the request to a peer gateway.
 struct PeerCommand
 {
-  std::string mPeer;
+  std::string mPeer; ///< Member name of the peer.
 };
 
-/// Answer the caller without an answer of a runner.
-struct GiveUpCommand
+/// Tells the HTTP thread to end the request without a runner's answer.
+struct EndWithoutAnswerCommand
 {
   Explanation mExplanation;
 };
 
-using Command = std::variant<RunnerCommand, PeerCommand, GiveUpCommand>;
+using Command =
+  std::variant<RunnerCommand, PeerCommand, EndWithoutAnswerCommand>;
 
-/// What identifies a request in its decision records.
+/// Identifies a request in its decision records.
 struct RequestLabel
 {
   std::string mRequestId;
   std::string mService;
-  std::string mCustomer;
+  std::string mClientAccount;
 };
 
-/// Carries commands from the routing thread to the HTTP thread of a request.
-/// There is at most one command at a time, because the routing thread waits
-/// for the end of a try before it decides again.
+/// Passes commands from the routing thread to the HTTP thread of one request.
+/// It holds at most one command, because the routing thread waits for the
+/// result of a try before it sends the next command.
 class Mailbox
 {
 public:
@@ -53,6 +54,7 @@
   {
   }
 
+  /// Stores the next command and wakes the HTTP thread.
   void Put(Command aCommand)
   {
     {
@@ -62,8 +64,8 @@
     mAvailable.notify_one();
   }
 
-  /// Waits for the next command; one always comes, because the routing thread
-  /// refuses every request whose deadline passes.
+  /// Waits for the next command and removes it. The wait always ends, because
+  /// the routing thread refuses a request whose deadline has passed.
   Command Take()
   {
     std::unique_lock lock(mMutex);
--- a/Libraries/LibGateway/PeerExchange.cpp
+++ b/Libraries/LibGateway/PeerExchange.cpp
@@ -6,10 +6,12 @@
 
 namespace {
 
-/// A peer that can't be reached would hold up the calls to all others, so it
-/// is left out for a while.
-constexpr Millis kSkipMs{ 1000 };
+/// Back-off after a failed call to a peer. Without it, each call to a peer that
+/// can't be reached would delay the calls to all others.
+constexpr Millis kPeerBackOffMs{ 1000 };
 
+/// @return 0 if the peer is in the same data centre as @p aSelf, 1 if it is in
+///         the same region, and 2 otherwise
 std::uint32_t
 DistanceTo(const Member& aSelf, const Json::Value& aPeer)
 {
@@ -25,7 +27,7 @@
                            const GatewayPorts& aPorts,
                            HttpClient& aClient,
                            RoutingThread& aRouting,
-                           KeyBook& aKeys)
+                           IdempotencyKeyStore& aKeys)
   : mSettings(aSettings)
   , mPorts(aPorts)
   , mClient(aClient)
@@ -46,20 +48,21 @@
 {
   while (!mStop.Closed()) {
     CallPeers();
-    mKeys.Tend();
-    // Nothing is ever pushed; this waits until the interval ends or the ring
-    // is closed.
+    mKeys.Maintain();
+    // The ring is always empty, so this waits until the interval has passed or
+    // the ring is closed.
     (void)mStop.Pop(mSettings.mSummaryInterval);
   }
 }
 
+/// Exchanges summaries with all peers whose name sorts after the own one.
 void
 PeerExchange::CallPeers()
 {
   for (const Member& peer : mPorts.mMembers()) {
     const MonotonicTime now = std::chrono::steady_clock::now();
     if (peer.mName <= mSettings.mSelf.mName ||
-        now < mSkipUntil[peer.mIncarnation]) {
+        now < mBackOffUntil[peer.mIncarnation]) {
       continue;
     }
     const auto answer = CallRpc(mClient,
@@ -70,11 +73,12 @@
     if (Succeeded(answer)) {
       Report(ValueOf(answer));
     } else {
-      mSkipUntil[peer.mIncarnation] = now + kSkipMs;
+      mBackOffUntil[peer.mIncarnation] = now + kPeerBackOffMs;
     }
   }
 }
 
+/// @return the summary of this gateway's free slots as peers receive it
 Json::Value
 PeerExchange::OwnSummary() const
 {
@@ -92,6 +96,7 @@
   return summary;
 }
 
+/// Passes a peer's summary to the routing thread.
 void
 PeerExchange::Report(const Json::Value& aSummary)
 {
--- a/Libraries/LibGateway/PeerExchange.h
+++ b/Libraries/LibGateway/PeerExchange.h
@@ -7,16 +7,17 @@
 #include <LibBase/Ring.h>
 #include <LibGateway/GatewayPorts.h>
 #include <LibGateway/GatewaySettings.h>
-#include <LibGateway/KeyBook.h>
+#include <LibGateway/IdempotencyKeyStore.h>
 #include <LibGateway/RoutingThread.h>
 #include <LibHttp/HttpClient.h>
 #include <LibRpc/RpcServer.h>
 
 namespace paddle {
 
-/// Exchanges summaries of free slots with the other gateways and tends the
-/// key shards. Runs one thread. Of each pair of gateways the one with the
-/// lower name calls; the call and its answer carry both summaries.
+/// Exchanges summaries of free slots with the other gateways, and calls
+/// IdempotencyKeyStore::Maintain(). Runs one thread. Of each pair of gateways,
+/// the one whose name sorts first makes the call. The call carries its own
+/// summary, and the answer carries that of the other.
 class PeerExchange
 {
 public:
@@ -24,7 +25,7 @@
                const GatewayPorts& aPorts,
                HttpClient& aClient,
                RoutingThread& aRouting,
-               KeyBook& aKeys);
+               IdempotencyKeyStore& aKeys);
   ~PeerExchange();
   PeerExchange(const PeerExchange&) = delete;
   PeerExchange& operator=(const PeerExchange&) = delete;
@@ -42,9 +43,10 @@
   const GatewayPorts& mPorts;
   HttpClient& mClient;
   RoutingThread& mRouting;
-  KeyBook& mKeys;
-  std::map<std::string, MonotonicTime> mSkipUntil; ///< Peers that failed.
-  Ring<int> mStop{ 1 };
+  IdempotencyKeyStore& mKeys;
+  /// When a peer that did not answer may be called again, by incarnation.
+  std::map<std::string, MonotonicTime> mBackOffUntil;
+  Ring<int> mStop{ 1 }; ///< Always empty; closing it stops the thread.
   std::thread mThread;
 };
 
--- a/Libraries/LibGateway/Prober.cpp
+++ b/Libraries/LibGateway/Prober.cpp
@@ -4,11 +4,12 @@
 
 namespace {
 
-constexpr std::size_t kMostOrders = 1024;
+/// Further probe requests are rejected; the routing thread then asks again.
+constexpr std::size_t kMaxQueuedProbes = 1024;
 
-/// With 500 ms time-outs, 17 silent runners (a data centre of the present
-/// deployments) are probed in about two seconds.
-constexpr unsigned kThreads = 4;
+/// With a time-out of 500 ms, 4 threads probe 17 runners that do not answer (a
+/// data centre of the present deployments) in about two seconds.
+constexpr unsigned kProbeThreads = 4;
 
 } // namespace
 
@@ -20,9 +21,9 @@
   , mTimeout(aTimeout)
   , mHealthPath(std::move(aHealthPath))
   , mReport(std::move(aReport))
-  , mOrders(kMostOrders)
+  , mQueue(kMaxQueuedProbes)
 {
-  for (unsigned i = 0; i < kThreads; ++i) {
+  for (unsigned i = 0; i < kProbeThreads; ++i) {
     mThreads.emplace_back([this] { Run(); });
   }
 }
@@ -35,7 +36,7 @@
 void
 Prober::Stop()
 {
-  mOrders.Close();
+  mQueue.Close();
   for (std::thread& thread : mThreads) {
     thread.join();
   }
@@ -43,25 +44,25 @@
 }
 
 bool
-Prober::TryOrder(ProbeOrder aOrder)
+Prober::TryEnqueue(ProbeRequest aRequest)
 {
-  return mOrders.TryPush(std::move(aOrder)) == PushResult::Accepted;
+  return mQueue.TryPush(std::move(aRequest)) == PushResult::Accepted;
 }
 
 void
 Prober::Run()
 {
-  while (!mOrders.Closed()) {
-    const auto order = mOrders.Pop(Seconds(1));
-    if (!order) {
+  while (!mQueue.Closed()) {
+    const auto probe = mQueue.Pop(Seconds(1));
+    if (!probe) {
       continue;
     }
     HttpRequest request;
-    request.mPath = mHealthPath(order->mService);
+    request.mPath = mHealthPath(probe->mService);
     const auto reply = mClient.Execute(
-      order->mEndpoint, request, mTimeout, ConnectionUse::Fresh);
+      probe->mEndpoint, request, mTimeout, ConnectionUse::Fresh);
     const bool healthy = Succeeded(reply) && ValueOf(reply).mStatus == 200;
-    mReport({ order->mRunner, healthy });
+    mReport({ probe->mRunner, healthy });
   }
 }
 
--- a/Libraries/LibGateway/Prober.h
+++ b/Libraries/LibGateway/Prober.h
@@ -11,13 +11,16 @@
 
 namespace paddle {
 
-/// Asks runners for their health over new connections. Runs a few threads,
-/// because a silent runner holds one for the whole time-out.
+/// Sends health probes to runners, each over a new connection. Runs several
+/// threads, because a runner that does not answer occupies one for the whole
+/// time-out.
 class Prober
 {
 public:
-  /// @param aHealthPath finds the health path of a service
-  /// @param aReport     receives each result
+  /// Starts the threads.
+  /// @param aTimeout    time-out of one probe
+  /// @param aHealthPath returns the path of a service's health checks
+  /// @param aReport     receives the result of each probe
   Prober(HttpClient& aClient,
          Millis aTimeout,
          std::function<std::string(std::string_view)> aHealthPath,
@@ -26,11 +29,13 @@
   Prober(const Prober&) = delete;
   Prober& operator=(const Prober&) = delete;
 
-  /// Ends the threads; later orders are not taken.
+  /// Stops the threads; later probe requests are rejected.
   void Stop();
 
-  /// @return whether the order was taken
-  [[nodiscard]] bool TryOrder(ProbeOrder aOrder);
+  /// Queues a probe.
+  /// @return whether it was queued; it is not when the queue is full or the
+  ///         prober has been stopped
+  [[nodiscard]] bool TryEnqueue(ProbeRequest aRequest);
 
 private:
   void Run();
@@ -39,7 +44,7 @@
   const Millis mTimeout;
   std::function<std::string(std::string_view)> mHealthPath;
   std::function<void(const ProbeEnded&)> mReport;
-  Ring<ProbeOrder> mOrders;
+  Ring<ProbeRequest> mQueue;
   std::vector<std::thread> mThreads;
 };
 
--- a/Libraries/LibGateway/RecordWriter.cpp
+++ b/Libraries/LibGateway/RecordWriter.cpp
@@ -6,15 +6,18 @@
 
 namespace {
 
-/// Two minutes of batches; about 30 MB at 1,000 requests a second.
-constexpr std::size_t kMostBatches = 120;
+/// Number of batches that are kept while the object store can't be reached.
+/// With one batch per second they cover two minutes, which takes about 30 MB at
+/// 1,000 requests per second.
+constexpr std::size_t kMaxPendingBatches = 120;
 
-/// A batch is stored early at this number of records, about 1 MB, to bound one
-/// store request.
-constexpr std::size_t kLargestBatch = 4000;
+/// A batch with this number of records, about 1 MB, is stored before the
+/// interval has passed, to bound the size of one store request.
+constexpr std::size_t kMaxRecordsPerBatch = 4000;
 
-/// Object names sort by sequence, and a restarted process must not reuse one,
-/// so the sequence starts with the wall clock.
+/// @return the first sequence number, the wall-clock time in milliseconds.
+///         Names of objects contain the sequence number and sort by it, and a
+///         restarted process must not use a name again.
 std::uint64_t
 FirstSequence()
 {
@@ -66,7 +69,7 @@
       records.push_back(ToDecisionRecord(*record, mMember));
     }
     const bool last = !record && mRing.Closed();
-    if (!last && records.size() < kLargestBatch &&
+    if (!last && records.size() < kMaxRecordsPerBatch &&
         std::chrono::steady_clock::now() < next) {
       continue;
     }
@@ -80,34 +83,36 @@
   }
 }
 
+/// Appends the records as a pending batch; drops the oldest one if there are
+/// too many.
 void
 RecordWriter::AppendBatch(const std::vector<DecisionRecord>& aRecords)
 {
   if (aRecords.empty()) {
     return;
   }
-  if (mBatches.size() == kMostBatches) {
-    mBatches.pop_front();
+  if (mPendingBatches.size() == kMaxPendingBatches) {
+    mPendingBatches.pop_front();
     mMetrics.Count("record_batches_dropped");
   }
-  mBatches.push_back(
+  mPendingBatches.push_back(
     { RecordObjectName(mMember, mSequence++), EncodeRecords(aRecords) });
 }
 
 bool
 RecordWriter::StoreBatches()
 {
-  while (!mBatches.empty()) {
-    const Batch& batch = mBatches.front();
+  while (!mPendingBatches.empty()) {
+    const Batch& batch = mPendingBatches.front();
     const auto stored = mObjects.mStore(batch.mName, batch.mBody);
     if (!Succeeded(stored)) {
       LogEvent(LogLevel::Warning,
                "records_not_stored",
                { { "error", ErrorOf(stored).mMessage },
-                 { "batches", mBatches.size() } });
+                 { "batches", mPendingBatches.size() } });
       return false;
     }
-    mBatches.pop_front();
+    mPendingBatches.pop_front();
   }
   return true;
 }
--- a/Libraries/LibGateway/RecordWriter.h
+++ b/Libraries/LibGateway/RecordWriter.h
@@ -15,31 +15,34 @@
 
 namespace paddle {
 
-/// Stores decision records in batches; runs one thread. While the object
-/// store can't be reached, a bounded number of batches is kept.
+/// Writes decision records to the object store in batches. Runs one thread.
+/// While the object store can't be reached, it keeps a limited number of
+/// batches and drops the oldest beyond that.
 class RecordWriter
 {
 public:
   RecordWriter(const GatewaySettings& aSettings,
                ObjectPort aObjects,
                Metrics& aMetrics);
-  /// Stores what is left, if the store can be reached.
+  /// Stores the remaining records if the object store can be reached.
   ~RecordWriter();
   RecordWriter(const RecordWriter&) = delete;
   RecordWriter& operator=(const RecordWriter&) = delete;
 
-  /// Keeps a record; drops and counts it when the ring is full.
+  /// Queues a record. When the queue is full, the record is dropped and
+  /// counted.
   void Add(RequestRecord aRecord);
 
 private:
   void Run();
   void AppendBatch(const std::vector<DecisionRecord>& aRecords);
-  /// @return whether nothing is left to store
+  /// Stores the pending batches in order, until one can't be stored.
+  /// @return whether all of them have been stored
   bool StoreBatches();
 
   struct Batch
   {
-    std::string mName;
+    std::string mName; ///< Name of the object in the store.
     std::string mBody;
   };
 
@@ -48,8 +51,8 @@
   ObjectPort mObjects;
   Metrics& mMetrics;
   Ring<RequestRecord> mRing;
-  std::deque<Batch> mBatches;
-  std::uint64_t mSequence;
+  std::deque<Batch> mPendingBatches;
+  std::uint64_t mSequence; ///< Of the next batch.
   std::thread mThread;
 };
 
--- a/Libraries/LibGateway/RequestPath.cpp
+++ b/Libraries/LibGateway/RequestHandler.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/RequestPath.h>
+#include <LibGateway/RequestHandler.h>
 
 #include <algorithm>
 #include <charconv>
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Time beyond the deadline that a peer gets to report its own end, so that
-/// its "refused" is not lost as "unknown".
+/// Time that a peer gets beyond the deadline to report the outcome. Without it,
+/// a request that the peer refused at its deadline would count as unknown.
 constexpr Millis kPeerGraceMs{ 100 };
 
 MonotonicTime
@@ -20,8 +20,9 @@
   return std::chrono::steady_clock::now();
 }
 
+/// @return the time from now until @p aEnd; 0 if it has passed
 Millis
-LeftUntil(MonotonicTime aEnd)
+TimeLeftUntil(MonotonicTime aEnd)
 {
   return std::max(Millis(0), std::chrono::duration_cast<Millis>(aEnd - Now()));
 }
@@ -40,6 +41,7 @@
   return best;
 }
 
+/// @return the number that a text consists of, or nothing if it is none
 std::optional<std::int64_t>
 ParseNumber(std::string_view aText)
 {
@@ -52,6 +54,7 @@
   return number;
 }
 
+/// @return whether a peer forwarded the request, as its header says
 Forwarded
 ForwardedBy(const HttpRequest& aRequest)
 {
@@ -62,6 +65,7 @@
   return text == "overflow" ? Forwarded::ToFreeSlots : Forwarded::No;
 }
 
+/// @return the name of an outcome in headers and metrics
 const char*
 NameOf(RequestOutcome aOutcome)
 {
@@ -76,6 +80,7 @@
   return "unknown";
 }
 
+/// Appends a header unless its value is empty.
 void
 SetHeader(HttpHeaders& aHeaders, const char* aName, std::string aValue)
 {
@@ -86,14 +91,14 @@
 
 } // namespace
 
-RequestPath::RequestPath(const GatewaySettings& aSettings,
-                         const GatewayPorts& aPorts,
-                         HttpClient& aClient,
-                         RoutingThread& aRouting,
-                         KeyBook& aKeys,
-                         WatchPool& aWatches,
-                         RecordWriter& aRecords,
-                         Metrics& aMetrics)
+RequestHandler::RequestHandler(const GatewaySettings& aSettings,
+                               const GatewayPorts& aPorts,
+                               HttpClient& aClient,
+                               RoutingThread& aRouting,
+                               IdempotencyKeyStore& aKeys,
+                               WatchPool& aWatches,
+                               RecordWriter& aRecords,
+                               Metrics& aMetrics)
   : mSettings(aSettings)
   , mPorts(aPorts)
   , mClient(aClient)
@@ -106,64 +111,71 @@
 }
 
 void
-RequestPath::Close()
+RequestHandler::RefuseRequests()
 {
-  mClosed = true;
+  mRefusing = true;
 }
 
 HttpReply
-RequestPath::Handle(const HttpRequest& aRequest)
+RequestHandler::Handle(const HttpRequest& aRequest)
 {
   const MonotonicTime start = Now();
   CallerRequest request;
-  const auto wrong = Parse(aRequest, request);
-  HttpReply reply = Complete(request, wrong ? *wrong : Dispatch(request));
+  const auto refusal = Parse(aRequest, request);
+  HttpReply reply = Complete(request, refusal ? *refusal : Dispatch(request));
   mMetrics.Observe(request.mRoute.mKind == RouteKind::Watch ? "watch"
                                                             : "request",
                    std::chrono::duration_cast<Micros>(Now() - start));
   return reply;
 }
 
+/// Counts and records the outcome of a request, and adds the gateway's headers
+/// to the reply.
 HttpReply
-RequestPath::Complete(const CallerRequest& aRequest, RequestEnd aEnd)
+RequestHandler::Complete(const CallerRequest& aRequest,
+                         ReplyWithOutcome aResult)
 {
-  mMetrics.Count(std::string("outcome_") + NameOf(aEnd.mOutcome));
-  Record(aRequest, aEnd);
-  HttpReply& reply = aEnd.mReply;
-  reply.mHeaders = PassedHeaders(reply.mHeaders);
+  mMetrics.Count(std::string("outcome_") + NameOf(aResult.mOutcome));
+  Record(aRequest, aResult);
+  HttpReply& reply = aResult.mReply;
+  reply.mHeaders = ForwardableHeaders(reply.mHeaders);
   reply.mHeaders.emplace_back(kRequestIdHeader, aRequest.mId);
-  reply.mHeaders.emplace_back(kOutcomeHeader, NameOf(aEnd.mOutcome));
+  reply.mHeaders.emplace_back(kOutcomeHeader, NameOf(aResult.mOutcome));
   return std::move(reply);
 }
 
-/// Records a decision that the routing core did not make.
+/// Writes a decision record if the decision was made outside LibRouting.
 void
-RequestPath::Record(const CallerRequest& aRequest, const RequestEnd& aEnd)
+RequestHandler::Record(const CallerRequest& aRequest,
+                       const ReplyWithOutcome& aResult)
 {
-  if (aEnd.mRule.empty()) {
+  if (aResult.mRule.empty()) {
     return;
   }
   RequestRecord record;
   record.mTime = std::chrono::system_clock::now();
   record.mRequest = std::make_shared<const Mailbox>(
-    RequestLabel{ aRequest.mId, aRequest.mService, aRequest.mCustomer });
-  record.mExplanation.mKind = aEnd.mOutcome == RequestOutcome::Refused
+    RequestLabel{ aRequest.mId, aRequest.mService, aRequest.mClientAccount });
+  record.mExplanation.mKind = aResult.mOutcome == RequestOutcome::Refused
                                 ? DecisionKind::Refuse
                                 : DecisionKind::Serve;
-  record.mOtherRule = aEnd.mRule;
+  record.mNonRoutingRule = aResult.mRule;
   mRecords.Add(std::move(record));
 }
 
-std::optional<RequestEnd>
-RequestPath::Parse(const HttpRequest& aRequest, CallerRequest& aOut)
+/// Parses a request.
+/// @param aOut receives the parsed request; its id is always set
+/// @return the refusal if the request can't be served, otherwise nothing
+std::optional<ReplyWithOutcome>
+RequestHandler::Parse(const HttpRequest& aRequest, CallerRequest& aOut)
 {
   aOut.mForwarded = ForwardedBy(aRequest);
   aOut.mId = FindHeader(aRequest.mHeaders, kRequestIdHeader);
   if (aOut.mForwarded == Forwarded::No || aOut.mId.empty()) {
     aOut.mId = mSettings.mSelf.mName + "-" + mSettings.mSelf.mIncarnation +
-               "-" + std::to_string(++mNumber);
+               "-" + std::to_string(++mLastNumber);
   }
-  if (mClosed) {
+  if (mRefusing) {
     return MakeRefusal(503, rule::kLeaving, "this gateway is leaving");
   }
   const auto configuration = mPorts.mConfiguration();
@@ -181,7 +193,7 @@
     return MakeRefusal(
       404, "no-such-service", "no service is named \"" + aOut.mService + "\"");
   }
-  HttpRequest& out = aOut.mToRunner;
+  HttpRequest& out = aOut.mRunnerRequest;
   out.mPath = slash < path.size() ? path.substr(slash) : "/";
   const Route* route = FindRoute(service->second, out.mPath);
   if (!route) {
@@ -189,8 +201,9 @@
       404, "no-such-route", "the service has no route for " + out.mPath);
   }
   aOut.mRoute = *route;
-  Millis most = route->mKind == RouteKind::Watch ? service->second.mLongestWatch
-                                                 : route->mDeadline;
+  Millis limit = route->mKind == RouteKind::Watch
+                   ? service->second.mLongestWatch
+                   : route->mDeadline;
   const std::string_view deadline =
     FindHeader(aRequest.mHeaders, kDeadlineHeader);
   if (!deadline.empty()) {
@@ -201,71 +214,82 @@
                          std::string(kDeadlineHeader) +
                            " must be a positive number of milliseconds");
     }
-    most = std::min(most, Millis(*wanted));
+    limit = std::min(limit, Millis(*wanted));
   }
-  aOut.mDeadline = Now() + most;
-  aOut.mCustomer = FindHeader(aRequest.mHeaders, kCustomerHeader);
+  aOut.mDeadline = Now() + limit;
+  aOut.mClientAccount = FindHeader(aRequest.mHeaders, kClientAccountHeader);
   aOut.mKeyHeader = FindHeader(aRequest.mHeaders, kKeyHeader);
   if (!aOut.mKeyHeader.empty()) {
-    // Customers choose keys independently, so a key is theirs alone, and a key
-    // that is used for another operation is another key.
-    aOut.mKey = aOut.mService + '\n' + aOut.mCustomer + '\n' +
-                aRequest.mMethod + ' ' + out.mPath + '\n' + aOut.mKeyHeader;
+    // Client accounts choose their keys independently of each other, so equal
+    // keys of two accounts are different keys. The same holds for equal keys
+    // of different operations.
+    aOut.mScopedKey = aOut.mService + '\n' + aOut.mClientAccount + '\n' +
+                      aRequest.mMethod + ' ' + out.mPath + '\n' +
+                      aOut.mKeyHeader;
   }
   out.mMethod = aRequest.mMethod;
   out.mQuery = aRequest.mQuery;
   out.mBody = aRequest.mBody;
-  out.mHeaders = PassedHeaders(aRequest.mHeaders);
+  out.mHeaders = ForwardableHeaders(aRequest.mHeaders);
   SetHeader(out.mHeaders, kRequestIdHeader, aOut.mId);
-  SetHeader(out.mHeaders, kCustomerHeader, aOut.mCustomer);
+  SetHeader(out.mHeaders, kClientAccountHeader, aOut.mClientAccount);
   SetHeader(out.mHeaders, kKeyHeader, aOut.mKeyHeader);
   return std::nullopt;
 }
 
-RequestEnd
-RequestPath::Dispatch(const CallerRequest& aRequest)
+/// Handles a parsed request according to its key and kind. A watch that
+/// reaches its deadline without an answer has not failed; its caller is told to
+/// send it again.
+ReplyWithOutcome
+RequestHandler::Dispatch(const CallerRequest& aRequest)
 {
-  // A peer that forwards for free slots has settled the key already.
-  if (!aRequest.mKey.empty() && aRequest.mForwarded != Forwarded::ToFreeSlots) {
-    return HandleKeyed(aRequest);
+  // When a peer forwards a request to free slots, the owner of the key has
+  // admitted the key already.
+  if (!aRequest.mScopedKey.empty() &&
+      aRequest.mForwarded != Forwarded::ToFreeSlots) {
+    return HandleKeyedRequest(aRequest);
   }
   if (aRequest.mRoute.mKind == RouteKind::Short) {
     return RouteRequest(aRequest);
   }
-  auto end = mWatches.Run([this, request = aRequest] {
-    RequestEnd result = RouteRequest(request);
-    const bool bounded =
+  auto reply = mWatches.Run([this, request = aRequest] {
+    ReplyWithOutcome result = RouteRequest(request);
+    const bool deadlineReached =
       result.mOutcome == RequestOutcome::Unknown && Now() >= request.mDeadline;
-    return bounded ? MakeWatchAgain() : result;
+    return deadlineReached ? MakeWatchAgainReply() : result;
   });
-  return end ? std::move(*end) : MakeWatchAgain();
+  return reply ? std::move(*reply) : MakeWatchAgainReply();
 }
 
-RequestEnd
-RequestPath::HandleKeyed(const CallerRequest& aRequest)
+/// Handles a request with an idempotency key: here if this process owns the
+/// key's shard, otherwise by forwarding it to the owner. A request that was
+/// forwarded once is not forwarded again.
+ReplyWithOutcome
+RequestHandler::HandleKeyedRequest(const CallerRequest& aRequest)
 {
-  const std::string shard = KeyShardId(KeyShardOf(aRequest.mKey));
+  const std::string shard = KeyShardId(KeyShardOf(aRequest.mScopedKey));
   if (mPorts.mOwns(shard)) {
-    return HandleOwnKey(aRequest);
+    return HandleOwnedKey(aRequest);
   }
   const auto owner = mPorts.mOwnerOf(shard);
   if (!owner || owner->mName == mSettings.mSelf.mName ||
       aRequest.mForwarded != Forwarded::No) {
     return MakeRefusal(503, rule::kNoOwner, "the owner of the key is changing");
   }
-  return HandOverToKeyOwner(aRequest, *owner);
+  return ForwardToKeyOwner(aRequest, *owner);
 }
 
-RequestEnd
-RequestPath::HandOverToKeyOwner(const CallerRequest& aRequest,
-                                const Member& aOwner)
+/// Forwards a request to the owner of its key and returns the owner's reply.
+ReplyWithOutcome
+RequestHandler::ForwardToKeyOwner(const CallerRequest& aRequest,
+                                  const Member& aOwner)
 {
-  Try end = SendToPeer(aRequest, aOwner.mAddress, "key");
-  switch (end.mResult) {
+  Try result = SendToPeer(aRequest, aOwner.mAddress, "key");
+  switch (result.mResult) {
     case TryResult::Answered:
-      return { RequestOutcome::Answered, std::move(end.mReply), {} };
+      return { RequestOutcome::Answered, std::move(result.mReply), {} };
     case TryResult::PeerNotRun:
-      return { RequestOutcome::Refused, std::move(end.mReply), {} };
+      return { RequestOutcome::Refused, std::move(result.mReply), {} };
     case TryResult::NotSent:
     case TryResult::Withheld:
       return MakeRefusal(
@@ -273,16 +297,19 @@
     case TryResult::Broken:
     case TryResult::TimedOut:
       return MakeUnknown("key-owner-silent",
-                         "the owner of the key gave no answer: " + end.mWhy);
+                         "the owner of the key gave no answer: " +
+                           result.mProblem);
   }
   return MakeUnknown("key-owner-silent", "the owner of the key gave no answer");
 }
 
-RequestEnd
-RequestPath::HandleOwnKey(const CallerRequest& aRequest)
+/// Handles a request whose key belongs to a shard of this process.
+ReplyWithOutcome
+RequestHandler::HandleOwnedKey(const CallerRequest& aRequest)
 {
-  const KeyAnswer answer = mKeys.Begin(aRequest.mKey, aRequest.mDeadline);
-  if (answer.mOwnerMoved) {
+  const KeyAdmission answer =
+    mKeys.Begin(aRequest.mScopedKey, aRequest.mDeadline);
+  if (answer.mNotOwner) {
     return MakeRefusal(503, rule::kNoOwner, "the owner of the key is changing");
   }
   if (answer.mCopyFailed) {
@@ -291,11 +318,11 @@
   }
   switch (answer.mDecision) {
     case KeyDecision::Run:
-      return RunKeyed(aRequest);
+      return RunKeyedRequest(aRequest);
     case KeyDecision::Replay:
       mMetrics.Count("key_replays");
       return { RequestOutcome::Answered,
-               DecodeReply(*answer.mStored),
+               DecodeReply(*answer.mStoredReply),
                "stored-answer" };
     case KeyDecision::Wait:
       return MakeUnknown("key-running",
@@ -315,53 +342,58 @@
   return MakeUnknown("internal", "internal error");
 }
 
-RequestEnd
-RequestPath::RunKeyed(const CallerRequest& aRequest)
+/// Runs a request whose key has been admitted, and stores its outcome.
+ReplyWithOutcome
+RequestHandler::RunKeyedRequest(const CallerRequest& aRequest)
 {
-  RequestEnd end = RouteRequest(aRequest);
-  switch (end.mOutcome) {
+  ReplyWithOutcome result = RouteRequest(aRequest);
+  switch (result.mOutcome) {
     case RequestOutcome::Answered:
-      mKeys.Finish(aRequest.mKey, EncodeReply(end.mReply));
+      mKeys.Finish(aRequest.mScopedKey, EncodeReply(result.mReply));
       break;
     case RequestOutcome::Refused:
-      mKeys.EndNotRun(aRequest.mKey);
+      mKeys.EndNotRun(aRequest.mScopedKey);
       break;
     case RequestOutcome::Unknown:
-      mKeys.EndUnknown(aRequest.mKey);
+      mKeys.EndUnknown(aRequest.mScopedKey);
       break;
   }
-  return end;
+  return result;
 }
 
-RequestEnd
-RequestPath::RouteRequest(const CallerRequest& aRequest)
+/// Passes a request to the routing thread and carries out its commands.
+ReplyWithOutcome
+RequestHandler::RouteRequest(const CallerRequest& aRequest)
 {
   auto mailbox = std::make_shared<Mailbox>(
-    RequestLabel{ aRequest.mId, aRequest.mService, aRequest.mCustomer });
+    RequestLabel{ aRequest.mId, aRequest.mService, aRequest.mClientAccount });
   RequestArrived arrived;
-  arrived.mNumber = ++mNumber;
+  arrived.mNumber = ++mLastNumber;
   arrived.mKind = aRequest.mRoute.mKind;
   arrived.mIdempotent = aRequest.mRoute.mIdempotent;
   arrived.mOrigin = aRequest.mForwarded == Forwarded::ToFreeSlots
                       ? Origin::Peer
                       : Origin::Caller;
   arrived.mDeadline = aRequest.mDeadline;
-  if (!mRouting.TryArrive({ arrived, mailbox })) {
+  if (!mRouting.TryPostArrival({ arrived, mailbox })) {
     mMetrics.Count("ring_full");
     return MakeRefusal(503, "gateway-overloaded", "this gateway is overloaded");
   }
-  return FollowCommands(aRequest, arrived.mNumber, *mailbox);
+  return ExecuteCommands(aRequest, arrived.mNumber, *mailbox);
 }
 
-RequestEnd
-RequestPath::FollowCommands(const CallerRequest& aRequest,
-                            RequestNumber aNumber,
-                            Mailbox& aMailbox)
+/// Carries out the commands of the routing thread and reports the result of
+/// each try to it, until the request has ended.
+ReplyWithOutcome
+RequestHandler::ExecuteCommands(const CallerRequest& aRequest,
+                                RequestNumber aNumber,
+                                Mailbox& aMailbox)
 {
   for (;;) {
     const Command command = aMailbox.Take();
-    if (const auto* end = std::get_if<GiveUpCommand>(&command)) {
-      return MakeEnd(end->mExplanation);
+    if (const auto* unanswered =
+          std::get_if<EndWithoutAnswerCommand>(&command)) {
+      return MakeUnansweredReply(unanswered->mExplanation);
     }
     Try result;
     if (const auto* runner = std::get_if<RunnerCommand>(&command)) {
@@ -377,77 +409,87 @@
     if (result.mResult == TryResult::Answered) {
       return { RequestOutcome::Answered, std::move(result.mReply), {} };
     }
-    if (!result.mWhy.empty()) {
+    if (!result.mProblem.empty()) {
       LogEvent(LogLevel::Warning,
                "try_failed",
-               { { "request", aRequest.mId }, { "error", result.mWhy } });
+               { { "request", aRequest.mId }, { "error", result.mProblem } });
     }
   }
 }
 
+/// @return whether a request may be forwarded over a connection that was used
+///         before. Only idempotent requests may, because the HTTP library may
+///         send a request twice on such a connection.
 ConnectionUse
-RequestPath::UseToPeer(const CallerRequest& aRequest) const
+RequestHandler::PeerConnectionUse(const CallerRequest& aRequest) const
 {
   return aRequest.mRoute.mIdempotent == Idempotent::Yes
            ? ConnectionUse::Reusable
            : ConnectionUse::Fresh;
 }
 
-RequestPath::Try
-RequestPath::SendToOwnRunner(const CallerRequest& aRequest,
-                             const RunnerCommand& aCommand)
+/// Sends a request to a runner whose shard this process owns.
+RequestHandler::Try
+RequestHandler::SendToOwnRunner(const CallerRequest& aRequest,
+                                const RunnerCommand& aCommand)
 {
   Try result;
-  // A process that was paused since the slot was assigned may have lost it.
+  // If this process was paused after the slot was assigned, it may have lost
+  // the runner's shard in the meantime.
   const auto owned = mPorts.mOwns(aCommand.mShard);
-  const Millis left = LeftUntil(aCommand.mTryEnds);
+  const Millis left = TimeLeftUntil(aCommand.mTryEnds);
   if (!owned || owned->mEpoch != aCommand.mEpoch || left == Millis(0)) {
     return result;
   }
-  // Idempotent requests too: a second delivery would take a second slot.
+  // Idempotent requests use a new connection too: if one were sent twice, it
+  // would occupy two slots of the runner.
   auto reply = mClient.Execute(
-    aCommand.mRunner, aRequest.mToRunner, left, ConnectionUse::Fresh);
+    aCommand.mRunner, aRequest.mRunnerRequest, left, ConnectionUse::Fresh);
   if (!Succeeded(reply)) {
     const HttpFailure& failure = ErrorOf(reply);
-    result.mWhy = ToText(aCommand.mRunner) + ": " + failure.mMessage;
+    result.mProblem = ToText(aCommand.mRunner) + ": " + failure.mMessage;
     result.mResult = failure.mTimedOut ? TryResult::TimedOut
                      : failure.mState == SendState::NotSent ? TryResult::NotSent
                                                             : TryResult::Broken;
     return result;
   }
   result.mReply = std::move(ValueOf(reply));
-  const bool own = IsOwnAnswer(
-    result.mReply, aRequest.mToRunner.mMethod, aRequest.mId, result.mWhy);
-  result.mResult = own ? TryResult::Answered : TryResult::Broken;
+  const bool matching = IsMatchingReply(result.mReply,
+                                        aRequest.mRunnerRequest.mMethod,
+                                        aRequest.mId,
+                                        result.mProblem);
+  result.mResult = matching ? TryResult::Answered : TryResult::Broken;
   return result;
 }
 
-RequestPath::Try
-RequestPath::SendToPeer(const CallerRequest& aRequest,
-                        const Endpoint& aPeer,
-                        const char* aForwarded)
+/// Forwards a request to a peer gateway.
+/// @param aForwarded value of the header kForwardedHeader
+RequestHandler::Try
+RequestHandler::SendToPeer(const CallerRequest& aRequest,
+                           const Endpoint& aPeer,
+                           const char* aForwarded)
 {
   Try result;
-  const Millis left = LeftUntil(aRequest.mDeadline);
+  const Millis left = TimeLeftUntil(aRequest.mDeadline);
   if (left == Millis(0)) {
     return result;
   }
-  HttpRequest forwarded = aRequest.mToRunner;
+  HttpRequest forwarded = aRequest.mRunnerRequest;
   forwarded.mPath = aRequest.mPath;
   SetHeader(forwarded.mHeaders, kForwardedHeader, aForwarded);
   SetHeader(forwarded.mHeaders, kDeadlineHeader, std::to_string(left.count()));
-  auto reply =
-    mClient.Execute(aPeer, forwarded, left + kPeerGraceMs, UseToPeer(aRequest));
+  auto reply = mClient.Execute(
+    aPeer, forwarded, left + kPeerGraceMs, PeerConnectionUse(aRequest));
   if (!Succeeded(reply)) {
     const HttpFailure& failure = ErrorOf(reply);
-    result.mWhy = ToText(aPeer) + ": " + failure.mMessage;
+    result.mProblem = ToText(aPeer) + ": " + failure.mMessage;
     result.mResult = failure.mState == SendState::NotSent ? TryResult::NotSent
                                                           : TryResult::Broken;
     return result;
   }
   result.mReply = std::move(ValueOf(reply));
-  if (!IsOwnAnswer(
-        result.mReply, forwarded.mMethod, aRequest.mId, result.mWhy)) {
+  if (!IsMatchingReply(
+        result.mReply, forwarded.mMethod, aRequest.mId, result.mProblem)) {
     result.mResult = TryResult::Broken;
     return result;
   }
@@ -460,14 +502,15 @@
       break;
     case RequestOutcome::Unknown:
       result.mResult = TryResult::Broken;
-      result.mWhy = ToText(aPeer) + " reports an unknown end";
+      result.mProblem = ToText(aPeer) + " reports an unknown end";
       break;
   }
   return result;
 }
 
+/// @return the live gateway with a member name, or nothing
 std::optional<Member>
-RequestPath::FindPeer(const std::string& aName) const
+RequestHandler::FindPeer(const std::string& aName) const
 {
   for (const Member& member : mPorts.mMembers()) {
     if (member.mName == aName) {
--- a/Libraries/LibGateway/RequestRecord.cpp
+++ b/Libraries/LibGateway/RequestRecord.cpp
@@ -4,13 +4,15 @@
 
 namespace {
 
+/// The texts that describe a rule.
 struct RuleText
 {
-  const char* mName;
-  const char* mText;
-  const char* mWouldChange;
+  const char* mName;        ///< In decision records.
+  const char* mText;        ///< The reason, for the caller.
+  const char* mWouldChange; ///< What would have led to another decision.
 };
 
+/// @return the texts of a rule
 RuleText
 Describe(Rule aRule)
 {
@@ -70,6 +72,7 @@
   return { "unknown", "unknown", "unknown" };
 }
 
+/// @return the decision as records name it
 Decision
 DecisionOf(DecisionKind aKind)
 {
@@ -86,6 +89,7 @@
   return Decision::Served;
 }
 
+/// @return a time in milliseconds
 double
 InMillis(Micros aTime)
 {
@@ -128,9 +132,9 @@
   record.mDecision = DecisionOf(why.mKind);
   record.mSubject = label.mRequestId;
   record.mService = label.mService;
-  record.mCustomer = label.mCustomer;
-  if (!aRecord.mOtherRule.empty()) {
-    record.mRule = aRecord.mOtherRule;
+  record.mCustomer = label.mClientAccount;
+  if (!aRecord.mNonRoutingRule.empty()) {
+    record.mRule = aRecord.mNonRoutingRule;
     return record;
   }
   record.mRule = NameOf(why.mRule);
--- a/Libraries/LibGateway/RequestRecord.h
+++ b/Libraries/LibGateway/RequestRecord.h
@@ -10,31 +10,33 @@
 
 namespace paddle {
 
-/// One decision about one request, in the compact form that the deciding
-/// threads pass on.
+/// One decision about one request, as the deciding threads pass it to the
+/// RecordWriter. ToDecisionRecord() makes the record that is stored from it.
 struct RequestRecord
 {
   std::chrono::system_clock::time_point mTime;
-  std::shared_ptr<const Mailbox> mRequest;
+  std::shared_ptr<const Mailbox> mRequest; ///< Its label names the request.
   Explanation mExplanation;
-  /// Rule of a decision that was made outside the routing core; empty if the
-  /// explanation names the rule.
-  std::string mOtherRule;
+  /// Name of the rule if the decision was made outside LibRouting; empty if
+  /// mExplanation contains the rule.
+  std::string mNonRoutingRule;
 };
 
-/// @return the rule's name in records
+/// @return the name of a rule in decision records
 const char*
 NameOf(Rule aRule);
 
-/// @return the rule in plain words, for the caller
+/// @return a rule in plain words, for the caller
 const char*
 TextOf(Rule aRule);
 
-/// @return what would have led to another decision, as a sentence part
+/// @return what would have led to another decision, as a phrase that completes
+///         a sentence
 std::string
 WhatWouldChange(const Explanation& aExplanation);
 
-/// @param aMember the process that decided
+/// @param aMember name of the member that made the decision
+/// @return the record as it is stored
 DecisionRecord
 ToDecisionRecord(const RequestRecord& aRecord, const std::string& aMember);
 
--- a/Libraries/LibGateway/RoutingThread.cpp
+++ b/Libraries/LibGateway/RoutingThread.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Bounds how late a waiting request is refused and a held slot returns.
+/// Interval between ticks of the routing state. A waiting request is refused,
+/// and a slot that is held becomes free again, late by at most this time.
 constexpr Millis kTickMs{ 5 };
 
 MonotonicTime
@@ -20,7 +21,7 @@
 RoutingThread::RoutingThread(const GatewaySettings& aSettings,
                              RoutingPolicy aPolicy,
                              RoutingOutputs aOutputs)
-  : mMostArrivals(aSettings.mEventCapacity / 2)
+  : mMaxQueuedArrivals(aSettings.mEventCapacity / 2)
   , mOutputs(std::move(aOutputs))
   , mRing(aSettings.mEventCapacity)
 {
@@ -36,9 +37,9 @@
 }
 
 bool
-RoutingThread::TryArrive(Arrival aArrival)
+RoutingThread::TryPostArrival(Arrival aArrival)
 {
-  if (mRing.Size() >= mMostArrivals) {
+  if (mRing.Size() >= mMaxQueuedArrivals) {
     return false;
   }
   return mRing.TryPush(std::move(aArrival)) == PushResult::Accepted;
@@ -47,9 +48,10 @@
 void
 RoutingThread::Post(const RoutingEvent& aEvent)
 {
-  constexpr Micros kPause{ 100 };
+  // Between attempts to enter an event while the queue is full.
+  constexpr Micros kFullRingPause{ 100 };
   while (mRing.TryPush(aEvent) == PushResult::Full) {
-    std::this_thread::sleep_for(kPause);
+    std::this_thread::sleep_for(kFullRingPause);
   }
 }
 
@@ -63,11 +65,13 @@
 bool
 RoutingThread::Quiescent(std::string_view aShard) const
 {
-  // One look may be under way already; the second one starts after this call.
-  constexpr Millis kLongestWait{ 200 };
+  // A Publish() may have read the state already when this call begins; the
+  // one after it certainly reads the state later.
+  constexpr Millis kMaxWait{ 200 };
   std::unique_lock lock(mPublishedMutex);
-  const std::uint64_t wanted = mLooks + 2;
-  if (!mLooked.wait_for(lock, kLongestWait, [&] { return mLooks >= wanted; })) {
+  const std::uint64_t wanted = mPublishCount + 2;
+  if (!mPublished.wait_for(
+        lock, kMaxWait, [&] { return mPublishCount >= wanted; })) {
     return false;
   }
   return std::find(mBusyShards.begin(), mBusyShards.end(), aShard) ==
@@ -85,11 +89,12 @@
       return;
     }
     if (Now() >= mNextTick) {
-      Tend();
+      HandleTick();
     }
   }
 }
 
+/// Applies one event to the routing state and carries out the actions.
 void
 RoutingThread::Handle(RoutingEvent& aEvent)
 {
@@ -107,7 +112,7 @@
       aEvent);
   }
   for (const RoutingAction& action : mActions) {
-    Carry(action);
+    ExecuteAction(action);
   }
   if (const auto* end = std::get_if<TryEnded>(&aEvent)) {
     if (!mState.mPending.contains(end->mNumber)) {
@@ -116,6 +121,8 @@
   }
 }
 
+/// Applies a new request to the routing state. Refuses it at once if its
+/// service is not known.
 void
 RoutingThread::HandleArrival(Arrival& aArrival)
 {
@@ -133,13 +140,13 @@
 }
 
 void
-RoutingThread::Carry(const RoutingAction& aAction)
+RoutingThread::ExecuteAction(const RoutingAction& aAction)
 {
-  std::visit([this](const auto& aInner) { CarryOut(aInner); }, aAction);
+  std::visit([this](const auto& aInner) { Execute(aInner); }, aAction);
 }
 
 void
-RoutingThread::CarryOut(const SendToRunner& aAction)
+RoutingThread::Execute(const SendToRunner& aAction)
 {
   const Runner& runner = mState.mServices[aAction.mRunner.mService]
                            .mRunners[aAction.mRunner.mRunner];
@@ -151,27 +158,28 @@
 }
 
 void
-RoutingThread::CarryOut(const ForwardToPeer& aAction)
+RoutingThread::Execute(const ForwardToPeer& aAction)
 {
   mMailboxes.at(aAction.mNumber)->Put(PeerCommand{ aAction.mPeer });
 }
 
 void
-RoutingThread::CarryOut(const Explain& aAction)
+RoutingThread::Execute(const Explain& aAction)
 {
   Record(aAction.mNumber, aAction.mExplanation);
 }
 
 void
-RoutingThread::CarryOut(const GiveUp& aAction)
+RoutingThread::Execute(const GiveUp& aAction)
 {
   Record(aAction.mNumber, aAction.mExplanation);
-  mMailboxes.at(aAction.mNumber)->Put(GiveUpCommand{ aAction.mExplanation });
+  mMailboxes.at(aAction.mNumber)
+    ->Put(EndWithoutAnswerCommand{ aAction.mExplanation });
   mMailboxes.erase(aAction.mNumber);
 }
 
 void
-RoutingThread::CarryOut(const ProbeRunner& aAction)
+RoutingThread::Execute(const ProbeRunner& aAction)
 {
   const ServiceState& service = mState.mServices[aAction.mRunner.mService];
   Runner& runner = mState.mServices[aAction.mRunner.mService]
@@ -179,11 +187,13 @@
   const bool taken = mOutputs.mProbe(
     { aAction.mRunner, service.mName, { runner.mHost, runner.mPort } });
   if (!taken) {
-    // Not the runner's fault: the next tick asks again.
+    // The prober's queue is full, which says nothing about the runner. The
+    // next tick asks for the probe again.
     runner.mProbing = false;
   }
 }
 
+/// Passes a decision about a request to the RecordWriter.
 void
 RoutingThread::Record(RequestNumber aNumber, const Explanation& aExplanation)
 {
@@ -194,18 +204,20 @@
   }
 }
 
+/// Applies the passing of time to the routing state and publishes it.
 void
-RoutingThread::Tend()
+RoutingThread::HandleTick()
 {
   mNextTick = Now() + kTickMs;
   mActions.clear();
   Apply(mState, Tick{}, Now(), mActions);
   for (const RoutingAction& action : mActions) {
-    Carry(action);
+    ExecuteAction(action);
   }
   Publish();
 }
 
+/// Publishes the free slots and the busy shards for other threads.
 void
 RoutingThread::Publish()
 {
@@ -223,9 +235,9 @@
     std::lock_guard lock(mPublishedMutex);
     mSummary = std::move(summary);
     mBusyShards = std::move(busy);
-    ++mLooks;
+    ++mPublishCount;
   }
-  mLooked.notify_all();
+  mPublished.notify_all();
 }
 
 } // namespace paddle
--- a/Libraries/LibGateway/RoutingThread.h
+++ b/Libraries/LibGateway/RoutingThread.h
@@ -21,13 +21,14 @@
 
 namespace paddle {
 
-/// A request for the routing thread.
+/// A new request as it is passed to the routing thread.
 struct Arrival
 {
-  RequestArrived mRequest; ///< The service index is set by the thread.
-  std::shared_ptr<Mailbox> mMailbox;
+  RequestArrived mRequest; ///< The routing thread sets its service index.
+  std::shared_ptr<Mailbox> mMailbox; ///< Receives the commands for it.
 };
 
+/// All events that the routing thread handles.
 using RoutingEvent = std::variant<Arrival,
                                   TryEnded,
                                   ProbeEnded,
@@ -36,26 +37,28 @@
                                   ShardLost,
                                   PeerReported>;
 
-/// A probe that the routing core asks for.
-struct ProbeOrder
+/// A health probe that LibRouting asks for.
+struct ProbeRequest
 {
   RunnerRef mRunner;
   std::string mService;
   Endpoint mEndpoint;
 };
 
-/// Where the routing thread delivers what does not go to a mailbox.
+/// Functions to which the routing thread passes actions that don't concern the
+/// HTTP thread of a request.
 struct RoutingOutputs
 {
-  std::function<void(RequestRecord)> mRecord;
-  /// @return whether the order was taken; if not, the probe has failed
-  std::function<bool(ProbeOrder)> mProbe;
+  std::function<void(RequestRecord)> mRecord; ///< Receives the decisions.
+  /// @return whether the probe was accepted; if not, it is asked for again
+  std::function<bool(ProbeRequest)> mProbe;
 };
 
-/// What this gateway has free, by service.
+/// The free slots of this gateway's runners, by service name.
 using Summary = std::vector<std::pair<std::string, PeerFree>>;
 
-/// Owns the routing state and feeds it events from a bounded ring.
+/// Owns the routing state of LibRouting. A thread takes events from a bounded
+/// queue, applies them to the state and carries out the resulting actions.
 class RoutingThread
 {
 public:
@@ -66,48 +69,53 @@
   RoutingThread(const RoutingThread&) = delete;
   RoutingThread& operator=(const RoutingThread&) = delete;
 
-  /// Hands a new request over.
+  /// Queues a new request.
   /// @return whether it was accepted; if not, it must be refused
-  [[nodiscard]] bool TryArrive(Arrival aArrival);
+  [[nodiscard]] bool TryPostArrival(Arrival aArrival);
 
-  /// Hands any other event over. Waits while the ring is full, because the
-  /// end of a request must not get lost.
+  /// Queues any other event. The call waits while the queue is full, because
+  /// the end of a request must not get lost.
   void Post(const RoutingEvent& aEvent);
 
   /// @return the latest summary, at most a few milliseconds old
   [[nodiscard]] Summary LatestSummary() const;
 
-  /// Looks at the state after this call, so that every slot that was assigned
-  /// before counts; waits a few milliseconds for it.
-  /// @return whether a runner shard has no slot in use
+  /// Checks a runner shard before its hand-over. The call waits a few
+  /// milliseconds for a state that was published completely after the call
+  /// began, so that every slot assigned earlier is seen.
+  /// @return whether no slot of the shard is in use; false if no such state was
+  ///         published in time
   [[nodiscard]] bool Quiescent(std::string_view aShard) const;
 
 private:
   void Run();
   void Handle(RoutingEvent& aEvent);
   void HandleArrival(Arrival& aArrival);
-  void Carry(const RoutingAction& aAction);
-  void CarryOut(const SendToRunner& aAction);
-  void CarryOut(const ForwardToPeer& aAction);
-  void CarryOut(const Explain& aAction);
-  void CarryOut(const GiveUp& aAction);
-  void CarryOut(const ProbeRunner& aAction);
+  void ExecuteAction(const RoutingAction& aAction);
+  void Execute(const SendToRunner& aAction);
+  void Execute(const ForwardToPeer& aAction);
+  void Execute(const Explain& aAction);
+  void Execute(const GiveUp& aAction);
+  void Execute(const ProbeRunner& aAction);
   void Record(RequestNumber aNumber, const Explanation& aExplanation);
-  void Tend();
+  void HandleTick();
   void Publish();
 
-  const std::size_t mMostArrivals;
+  /// New requests are rejected when the queue holds this number of events.
+  const std::size_t mMaxQueuedArrivals;
   RoutingOutputs mOutputs;
   Ring<RoutingEvent> mRing;
-  RoutingState mState;     ///< Of the thread alone.
-  RoutingActions mActions; ///< Of the thread alone; kept to spare memory.
+  RoutingState mState; ///< Used by the routing thread only.
+  /// Used by the routing thread only; a member so that its memory is reused.
+  RoutingActions mActions;
+  /// Of the requests that have not ended; used by the routing thread only.
   std::unordered_map<RequestNumber, std::shared_ptr<Mailbox>> mMailboxes;
   MonotonicTime mNextTick{};
-  mutable std::mutex mPublishedMutex;
+  mutable std::mutex mPublishedMutex; ///< Guards the next three members.
   Summary mSummary;
-  std::vector<std::string> mBusyShards;
-  std::uint64_t mLooks = 0; ///< Number of times the above were renewed.
-  mutable std::condition_variable mLooked;
+  std::vector<std::string> mBusyShards; ///< Runner shards with slots in use.
+  std::uint64_t mPublishCount = 0;      ///< Number of calls of Publish().
+  mutable std::condition_variable mPublished; ///< Notified by Publish().
   std::thread mThread;
 };
 
--- a/Libraries/LibGateway/RunnerFollower.cpp
+++ b/Libraries/LibGateway/RunnerFollower.cpp
@@ -57,18 +57,18 @@
     const auto configuration = mPorts.mConfiguration();
     const MonotonicTime now = std::chrono::steady_clock::now();
     const bool changed =
-      configuration && configuration->mRevision != mListedRevision;
+      configuration && configuration->mRevision != mReportedRevision;
     if (now >= nextHosts) {
       ReadHosts();
-      nextHosts = now + mSettings.mHostInterval;
-      ListServices();
+      nextHosts = now + mSettings.mHostListInterval;
+      ReportServices();
     } else if (changed) {
-      ListServices();
+      ReportServices();
     }
-    FollowShards();
-    // Nothing is ever pushed; this waits until the interval ends or the ring
-    // is closed.
-    (void)mStop.Pop(mSettings.mOwnerInterval);
+    ReportOwnershipChanges();
+    // The ring is always empty, so this waits until the interval has passed or
+    // the ring is closed.
+    (void)mStop.Pop(mSettings.mOwnershipInterval);
   }
 }
 
@@ -77,8 +77,8 @@
 {
   auto hosts = mPorts.mHosts.mList();
   if (!Succeeded(hosts)) {
-    // The last list stays in force; refused connections and probes tell which
-    // of its runners are gone.
+    // The last list stays in use. Refused connections and failed probes reveal
+    // which of its runners no longer exist.
     LogEvent(LogLevel::Warning,
              "host_list_unavailable",
              { { "error", ErrorOf(hosts).mMessage } });
@@ -87,14 +87,17 @@
   mHosts = std::move(ValueOf(hosts));
 }
 
+/// Reports all services with their runners to the routing thread, and all
+/// shards to the lease. Key shards are distributed over the data centres that
+/// are in service.
 void
-RunnerFollower::ListServices()
+RunnerFollower::ReportServices()
 {
   const auto configuration = mPorts.mConfiguration();
   if (!configuration) {
     return;
   }
-  mListedRevision = configuration->mRevision;
+  mReportedRevision = configuration->mRevision;
   std::map<std::string, ShardSpec> shards;
   for (const auto& [name, document] : configuration->mServices) {
     ServiceListed listed{ name, LimitsOf(document), {} };
@@ -112,15 +115,17 @@
     }
     mRouting.Post(std::move(listed));
   }
-  std::vector<DataCentre> places;
-  for (const auto& [name, place] : configuration->mDataCentres) {
-    if (place.mState == DataCentreState::InService) {
-      places.push_back(place);
+  std::vector<DataCentre> dataCentres;
+  for (const auto& [name, dataCentre] : configuration->mDataCentres) {
+    if (dataCentre.mState == DataCentreState::InService) {
+      dataCentres.push_back(dataCentre);
     }
   }
-  for (std::uint32_t i = 0; i < kKeyShards && !places.empty(); ++i) {
-    const DataCentre& place = places[i % places.size()];
-    shards[KeyShardId(i)] = { KeyShardId(i), place.mName, place.mRegion };
+  for (std::uint32_t i = 0; i < kKeyShards && !dataCentres.empty(); ++i) {
+    const DataCentre& dataCentre = dataCentres[i % dataCentres.size()];
+    shards[KeyShardId(i)] = { KeyShardId(i),
+                              dataCentre.mName,
+                              dataCentre.mRegion };
   }
   mShards = std::move(shards);
   std::vector<ShardSpec> specs;
@@ -130,31 +135,34 @@
   mPorts.mSetShards(std::move(specs));
 }
 
+/// Reports to the routing thread which runner shards this process has acquired
+/// or lost since the last call.
 void
-RunnerFollower::FollowShards()
+RunnerFollower::ReportOwnershipChanges()
 {
   for (const auto& [id, spec] : mShards) {
     if (!id.starts_with("runner/")) {
       continue;
     }
     const auto owned = mPorts.mOwns(id);
-    const auto known = mEpochs.find(id);
-    if (owned && (known == mEpochs.end() || known->second != owned->mEpoch)) {
-      mEpochs[id] = owned->mEpoch;
+    const auto known = mOwnedEpochs.find(id);
+    if (owned &&
+        (known == mOwnedEpochs.end() || known->second != owned->mEpoch)) {
+      mOwnedEpochs[id] = owned->mEpoch;
       mRouting.Post(ShardAcquired{ id, *owned });
-    } else if (!owned && known != mEpochs.end()) {
-      mEpochs.erase(known);
+    } else if (!owned && known != mOwnedEpochs.end()) {
+      mOwnedEpochs.erase(known);
       mRouting.Post(ShardLost{ id });
     }
   }
-  // A shard without listed runners is not followed any more.
-  for (auto known = mEpochs.begin(); known != mEpochs.end();) {
+  // A shard that no listed runner belongs to is reported as lost.
+  for (auto known = mOwnedEpochs.begin(); known != mOwnedEpochs.end();) {
     if (mShards.contains(known->first)) {
       ++known;
       continue;
     }
     mRouting.Post(ShardLost{ known->first });
-    known = mEpochs.erase(known);
+    known = mOwnedEpochs.erase(known);
   }
 }
 
--- a/Libraries/LibGateway/RunnerFollower.h
+++ b/Libraries/LibGateway/RunnerFollower.h
@@ -16,8 +16,8 @@
 
 namespace paddle {
 
-/// @return the shard of a runner; depends on the runner alone, so that it
-///         never changes while the runner has requests
+/// @return the shard id of a runner; it depends only on the runner, so that it
+///         does not change while the runner has requests
 std::string
 RunnerShardOf(const GatewaySettings& aSettings, const HostEntry& aRunner);
 
@@ -25,12 +25,12 @@
 std::string
 KeyShardId(std::uint32_t aNumber);
 
-/// @return the limits of a service that follow from its document
+/// @return the routing limits that a service's document sets
 ServiceLimits
 LimitsOf(const ServiceDocument& aDocument);
 
-/// Follows the host list, the configuration and the ownership of shards, and
-/// tells the routing thread. Runs one thread.
+/// Polls the host list, the configuration and the ownership of shards, and
+/// reports changes to the routing thread and to the lease. Runs one thread.
 class RunnerFollower
 {
 public:
@@ -44,17 +44,20 @@
 private:
   void Run();
   void ReadHosts();
-  void ListServices();
-  void FollowShards();
+  void ReportServices();
+  void ReportOwnershipChanges();
 
   const GatewaySettings& mSettings;
   const GatewayPorts& mPorts;
   RoutingThread& mRouting;
-  std::vector<HostEntry> mHosts;
-  std::map<std::string, ShardSpec> mShards;
-  std::map<std::string, std::uint64_t> mEpochs; ///< Of the owned shards.
-  std::uint64_t mListedRevision = 0;
-  Ring<int> mStop{ 1 };
+  std::vector<HostEntry> mHosts;            ///< The host list as read last.
+  std::map<std::string, ShardSpec> mShards; ///< All shards, by id.
+  /// Epochs of the runner shards that this process owns, as reported to the
+  /// routing thread.
+  std::map<std::string, std::uint64_t> mOwnedEpochs;
+  /// Configuration revision that ReportServices() used last.
+  std::uint64_t mReportedRevision = 0;
+  Ring<int> mStop{ 1 }; ///< Always empty; closing it stops the thread.
   std::thread mThread;
 };
 
--- a/Libraries/LibGateway/WatchPool.cpp
+++ b/Libraries/LibGateway/WatchPool.cpp
@@ -17,25 +17,26 @@
   mChanged.wait(lock, [this] { return mRunning == 0; });
 }
 
-std::optional<RequestEnd>
-WatchPool::Run(std::function<RequestEnd()> aWatch)
+std::optional<ReplyWithOutcome>
+WatchPool::Run(std::function<ReplyWithOutcome()> aWatch)
 {
   std::unique_lock lock(mMutex);
   if (mDraining) {
     return std::nullopt;
   }
   ++mRunning;
-  const auto end = std::make_shared<std::optional<RequestEnd>>();
-  std::thread([this, end, watch = std::move(aWatch)] {
-    RequestEnd result = watch();
-    // Notified under the lock, because the destructor may run right after.
+  const auto reply = std::make_shared<std::optional<ReplyWithOutcome>>();
+  std::thread([this, reply, watch = std::move(aWatch)] {
+    ReplyWithOutcome result = watch();
+    // The notification is sent while the mutex is held, because the destructor
+    // may run as soon as it is released.
     const std::lock_guard inner(mMutex);
-    *end = std::move(result);
+    *reply = std::move(result);
     --mRunning;
     mChanged.notify_all();
   }).detach();
-  mChanged.wait(lock, [&] { return mDraining || end->has_value(); });
-  return *end;
+  mChanged.wait(lock, [&] { return mDraining || reply->has_value(); });
+  return *reply;
 }
 
 void
@@ -53,8 +54,8 @@
   return mRunning;
 }
 
-RequestEnd
-MakeWatchAgain()
+ReplyWithOutcome
+MakeWatchAgainReply()
 {
   return { RequestOutcome::Answered,
            { 200, { { kWatchHeader, "again" } }, {} },
--- a/Libraries/LibGateway/WatchPool.h
+++ b/Libraries/LibGateway/WatchPool.h
@@ -10,8 +10,8 @@
 
 namespace paddle {
 
-/// Runs watches on threads of their own, so that a drain can answer their
-/// callers while the runners still hold them.
+/// Runs each watch (long poll) on a thread of its own, so that Drain() can
+/// answer the callers while runners still hold the watches.
 class WatchPool
 {
 public:
@@ -20,29 +20,30 @@
   WatchPool(const WatchPool&) = delete;
   WatchPool& operator=(const WatchPool&) = delete;
 
-  /// Runs a watch and waits for its end, or for the drain.
-  /// @return the end, or nothing if the drain came first; the watch then goes
-  ///         on and its end is dropped
-  std::optional<RequestEnd> Run(std::function<RequestEnd()> aWatch);
+  /// Runs a watch and waits for its reply or for Drain().
+  /// @param aWatch sends the watch and returns the reply
+  /// @return the reply, or nothing if Drain() was called first. In that case a
+  ///         watch that was started goes on, and its reply is dropped.
+  std::optional<ReplyWithOutcome> Run(std::function<ReplyWithOutcome()> aWatch);
 
-  /// Makes all present and later calls of Run() return.
+  /// Makes all present and later calls of Run() return at once.
   void Drain();
 
-  /// Waits for the runners to end their watches.
+  /// Waits until all watches have ended.
   void Wait();
 
-  /// @return the number of watches that runners still hold
+  /// @return the number of watches that have not ended
   [[nodiscard]] unsigned Running() const;
 
 private:
   mutable std::mutex mMutex;
-  std::condition_variable mChanged;
+  std::condition_variable mChanged; ///< A watch has ended, or Drain().
   bool mDraining = false;
   unsigned mRunning = 0;
 };
 
-/// @return the complete answer that tells a caller to watch again
-RequestEnd
-MakeWatchAgain();
+/// @return a complete answer that tells the caller to send its watch again
+ReplyWithOutcome
+MakeWatchAgainReply();
 
 } // namespace paddle
--- a/Services/Gateway/CommandLine.h
+++ b/Services/Gateway/CommandLine.h
@@ -6,9 +6,9 @@
 
 namespace paddle {
 
-/// Reads "--settings FILE" from the command line. The parser's large header
-/// is confined to one source file.
-/// @return the file, or an error or help text for the user
+/// Parses the command line. This function has a source file of its own, so that
+/// only that file includes the large header of the parser.
+/// @return the name of the settings file, or an error or help text for the user
 Outcome<std::string>
 ReadCommandLine(int aCount, const char* const* aArguments);
 
--- a/Services/Gateway/main.cpp
+++ b/Services/Gateway/main.cpp
@@ -20,19 +20,26 @@
 
 namespace {
 
+/// Between polls of the configuration.
 constexpr Millis kConfigPollMs{ 1000 };
 
-/// The balancer sees "leaving" on the health page and sends elsewhere, while
-/// requests are still served.
-constexpr Millis kBalancerGraceMs{ 2000 };
+/// Time for which requests are still served after the health page has begun to
+/// report "leaving". During this time the load balancer notices it and sends
+/// new requests to other gateways.
+constexpr Millis kLoadBalancerGraceMs{ 2000 };
 
-/// Longer than any short request.
-constexpr Millis kDrainMs{ 30000 };
-constexpr Millis kHandOverMs{ 10000 };
+/// Longest wait for the requests in flight. No short request runs that long.
+constexpr Millis kRequestDrainTimeoutMs{ 30000 };
 
-/// New owners of key shards fetch the keys from this process.
-constexpr Millis kFetchGraceMs{ 1000 };
+/// Longest wait for the hand-over of all shards.
+constexpr Millis kHandOverTimeoutMs{ 10000 };
 
+/// Time after the hand-over during which the new owners of the key shards can
+/// fetch the keys from this process.
+constexpr Millis kKeyFetchGraceMs{ 1000 };
+
+/// @return an incarnation that differs from those of earlier processes: the
+///         wall-clock time in microseconds
 std::string
 MakeIncarnation()
 {
@@ -41,6 +48,8 @@
                           .count());
 }
 
+/// @return ports that are bound to the lease, the configuration and the
+///         platform's services
 GatewayPorts
 MakePorts(LeaseKeeper& aLease,
           ConfigFollower& aConfig,
@@ -65,7 +74,9 @@
   return ports;
 }
 
-/// Blocks the signals in all threads started later, so that Wait() gets them.
+/// Blocks SIGTERM and SIGINT in this thread and in all threads started later,
+/// so that sigwait() receives them. Ignores SIGPIPE.
+/// @return the blocked signals
 sigset_t
 BlockStopSignals()
 {
@@ -79,16 +90,18 @@
   return signals;
 }
 
+/// Ends the service without failing requests: lets the load balancer send
+/// requests elsewhere, hands the shards over, and waits for requests in flight.
 void
-LeaveOrderly(Gateway& aGateway, HttpServer& aServer, LeaseKeeper& aLease)
+ShutDownGracefully(Gateway& aGateway, HttpServer& aServer, LeaseKeeper& aLease)
 {
   LogEvent(LogLevel::Info, "leaving", {});
   aGateway.StartLeaving();
-  std::this_thread::sleep_for(kBalancerGraceMs);
+  std::this_thread::sleep_for(kLoadBalancerGraceMs);
   aGateway.RefuseRequests();
-  const bool handedOver = aLease.Leave(kHandOverMs);
-  std::this_thread::sleep_for(kFetchGraceMs);
-  const bool drained = aServer.StopAndDrain(kDrainMs);
+  const bool handedOver = aLease.Leave(kHandOverTimeoutMs);
+  std::this_thread::sleep_for(kKeyFetchGraceMs);
+  const bool drained = aServer.StopAndDrain(kRequestDrainTimeoutMs);
   LogEvent(LogLevel::Info,
            "left",
            { { "handed_over", handedOver ? "yes" : "no" },
@@ -96,13 +109,17 @@
              { "watches_at_runners", aGateway.AbandonedWatches() } });
 }
 
+/// Prints an error for the user.
+/// @return the exit code of the process
 int
-Fail(const Error& aError)
+PrintError(const Error& aError)
 {
   std::cerr << aError.mMessage << '\n';
   return EXIT_FAILURE;
 }
 
+/// Runs the gateway until SIGTERM or SIGINT arrives.
+/// @return the exit code of the process if the gateway can't start
 int
 Serve(DaemonSettings aSettings)
 {
@@ -129,7 +146,7 @@
   auto started = Gateway::Start(
     gatewaySettings, MakePorts(lease, config, client, aSettings.mPlatform));
   if (!Succeeded(started)) {
-    return Fail(ErrorOf(started));
+    return PrintError(ErrorOf(started));
   }
   Gateway& gateway = *ValueOf(started);
   lease.SetQuiescent(
@@ -144,16 +161,17 @@
       return gateway.Handle(aRequest);
     }));
   if (!Succeeded(server)) {
-    return Fail(ErrorOf(server));
+    return PrintError(ErrorOf(server));
   }
   LogEvent(LogLevel::Info,
            "serving",
            { { "address", ToText(aSettings.mSelf.mAddress) } });
   int signal = 0;
   sigwait(&signals, &signal);
-  LeaveOrderly(gateway, *ValueOf(server), lease);
-  // Threads may still hold watches whose callers have their answers; the
-  // destructors would wait for them.
+  ShutDownGracefully(gateway, *ValueOf(server), lease);
+  // Threads may still wait for watches at runners whose callers have their
+  // answers already. The destructors would wait for these threads, so the
+  // process exits without running them.
   std::_Exit(EXIT_SUCCESS);
 }
 
@@ -164,15 +182,15 @@
 {
   const auto file = ReadCommandLine(aCount, aArguments);
   if (!Succeeded(file)) {
-    return Fail(ErrorOf(file));
+    return PrintError(ErrorOf(file));
   }
   const auto text = ReadJsonFile(ValueOf(file));
   if (!Succeeded(text)) {
-    return Fail(ErrorOf(text));
+    return PrintError(ErrorOf(text));
   }
   const auto settings = ParseDaemonSettings(ValueOf(file), ValueOf(text).mText);
   if (!Succeeded(settings)) {
-    return Fail(ErrorOf(settings));
+    return PrintError(ErrorOf(settings));
   }
   return Serve(ValueOf(settings));
 }
--- a/Tests/LibGateway/GatewayFixture.cpp
+++ b/Tests/LibGateway/GatewayFixture.cpp
@@ -9,6 +9,7 @@
 
 namespace {
 
+/// @return the document of the service "desk"
 ServiceDocument
 MakeDocument()
 {
@@ -25,7 +26,7 @@
 
 } // namespace
 
-TestPlace::TestPlace()
+FakeCluster::FakeCluster()
   : mConfiguration(std::make_shared<Configuration>())
 {
   mConfiguration->mRevision = 1;
@@ -36,7 +37,7 @@
 }
 
 void
-TestPlace::AddRunner(std::uint16_t aPort)
+FakeCluster::AddRunner(std::uint16_t aPort)
 {
   std::lock_guard lock(mMutex);
   HostEntry host;
@@ -50,37 +51,37 @@
 }
 
 void
-TestPlace::Own(const std::string& aPrefix,
-               const Member& aMember,
-               std::uint64_t aEpoch,
-               Acquisition aAcquisition)
+FakeCluster::SetOwner(const std::string& aPrefix,
+                      const Member& aMember,
+                      std::uint64_t aEpoch,
+                      Acquisition aAcquisition)
 {
   std::lock_guard lock(mMutex);
-  mHolders[aPrefix] = {
+  mOwners[aPrefix] = {
     aMember, { aEpoch, aAcquisition, std::chrono::steady_clock::now() }
   };
 }
 
 void
-TestPlace::SetSuccessor(const Member& aOf, const Member& aSuccessor)
+FakeCluster::SetSuccessor(const Member& aOf, const Member& aSuccessor)
 {
   std::lock_guard lock(mMutex);
   mSuccessors[aOf.mName] = aSuccessor;
 }
 
 void
-TestPlace::Join(const Member& aMember)
+FakeCluster::AddMember(const Member& aMember)
 {
   std::lock_guard lock(mMutex);
   mMembers.push_back(aMember);
 }
 
-const TestPlace::Holder*
-TestPlace::HolderOf(std::string_view aShard) const
+const FakeCluster::ShardOwner*
+FakeCluster::FindOwner(std::string_view aShard) const
 {
-  const Holder* found = nullptr;
+  const ShardOwner* found = nullptr;
   std::size_t longest = 0;
-  for (const auto& [prefix, holder] : mHolders) {
+  for (const auto& [prefix, holder] : mOwners) {
     if (aShard.starts_with(prefix) && (!found || prefix.size() > longest)) {
       found = &holder;
       longest = prefix.size();
@@ -90,18 +91,18 @@
 }
 
 GatewayPorts
-TestPlace::PortsOf(const Member& aMember)
+FakeCluster::PortsOf(const Member& aMember)
 {
   GatewayPorts ports;
   ports.mOwns = [this, aMember](std::string_view aShard) {
     std::lock_guard lock(mMutex);
-    const Holder* holder = HolderOf(aShard);
+    const ShardOwner* holder = FindOwner(aShard);
     const bool own = holder && holder->mMember.mName == aMember.mName;
     return own ? std::optional(holder->mOwnership) : std::nullopt;
   };
   ports.mOwnerOf = [this](std::string_view aShard) {
     std::lock_guard lock(mMutex);
-    const Holder* holder = HolderOf(aShard);
+    const ShardOwner* holder = FindOwner(aShard);
     return holder ? std::optional(holder->mMember) : std::nullopt;
   };
   ports.mSuccessor = [this, aMember]() -> std::optional<Member> {
@@ -134,7 +135,7 @@
 }
 
 std::string
-TestPlace::Records()
+FakeCluster::Records()
 {
   std::lock_guard lock(mMutex);
   return mRecords;
@@ -147,17 +148,17 @@
            "dc-1", "region",    { "127.0.0.1", aPort } };
 }
 
-TestGateway::TestGateway(TestPlace& aPlace, const Member& aSelf)
+TestGateway::TestGateway(FakeCluster& aCluster, const Member& aSelf)
 {
   GatewaySettings settings;
   settings.mSelf = aSelf;
-  settings.mHostInterval = Millis(50);
-  settings.mOwnerInterval = Millis(5);
+  settings.mHostListInterval = Millis(50);
+  settings.mOwnershipInterval = Millis(5);
   settings.mSummaryInterval = Millis(20);
   settings.mProbeTimeout = Millis(200);
   settings.mRouting.mProbeInterval = Millis(50);
   settings.mRecordInterval = Millis(20);
-  auto gateway = Gateway::Start(settings, aPlace.PortsOf(aSelf));
+  auto gateway = Gateway::Start(settings, aCluster.PortsOf(aSelf));
   CHECK_TRUE(Succeeded(gateway));
   mGateway = std::move(ValueOf(gateway));
   auto server = HttpServer::Start(
@@ -172,14 +173,14 @@
 void
 TestGateway::WaitUntilServing()
 {
-  constexpr int kMostTries = 500;
-  for (int i = 0; i < kMostTries; ++i) {
+  constexpr int kMaxAttempts = 500;
+  for (int i = 0; i < kMaxAttempts; ++i) {
     if (mGateway->Handle(MakeRequest("/read")).mStatus == 200) {
       return;
     }
     std::this_thread::sleep_for(Millis(10));
   }
-  FAIL("the gateway never served");
+  FAIL("the gateway did not answer a read");
 }
 
 HttpRequest
--- a/Tests/LibGateway/ScriptedRunner.h
+++ b/Tests/LibGateway/ScriptedRunner.h
@@ -10,22 +10,25 @@
 
 namespace paddle {
 
-/// A runner over plain sockets that misbehaves as a test says. Each
-/// connection carries one request.
+/// A runner on plain sockets whose answers a test determines, also malformed
+/// ones. It serves one request per connection.
 class ScriptedRunner
 {
 public:
-  /// Gets the request's bytes and returns the bytes to answer with; an empty
-  /// string closes the connection without an answer.
+  /// Receives the bytes of a request and returns the bytes of the answer. If
+  /// they are empty, the connection is closed without an answer.
   using Script = std::function<std::string(const std::string& aRequest)>;
 
+  /// Starts to listen on a port of 127.0.0.1.
+  /// @param aScript called for each request, on a thread of its own
   ScriptedRunner(std::uint16_t aPort, Script aScript);
   ~ScriptedRunner();
   ScriptedRunner(const ScriptedRunner&) = delete;
   ScriptedRunner& operator=(const ScriptedRunner&) = delete;
 
-  /// @return the number of requests that arrived, without health probes
+  /// @return the number of requests that arrived, not counting health probes
   [[nodiscard]] int Arrivals() const { return mArrivals; }
+  /// @return the number of health probes that arrived
   [[nodiscard]] int Probes() const { return mProbes; }
 
 private:
@@ -41,11 +44,12 @@
   std::thread mThread;
 };
 
-/// @return the value of a header in a request's bytes, or empty
+/// @return the value of a header in the bytes of a request; empty if it is
+///         absent
 std::string
 HeaderOf(const std::string& aRequest, const std::string& aName);
 
-/// @return a complete answer that echoes the request's id
+/// @return the bytes of a complete answer with the request's id
 std::string
 AnswerTo(const std::string& aRequest, const std::string& aBody);
 
--- a/Tests/LibGateway/TestGateway.cpp
+++ b/Tests/LibGateway/TestGateway.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-constexpr std::uint16_t kRunner = 21001;
-constexpr std::uint16_t kOtherRunner = 21002;
-constexpr std::uint16_t kGateway = 21100;
+constexpr std::uint16_t kRunnerPort = 21001;
+constexpr std::uint16_t kOtherRunnerPort = 21002;
+constexpr std::uint16_t kGatewayPort = 21100;
 
-/// Blocks until opened.
+/// Blocks the threads that call Wait() until Open() is called.
 class Gate
 {
 public:
@@ -46,21 +46,21 @@
   return aRequest.starts_with("POST /order");
 }
 
-/// One gateway that owns everything.
-struct Single
+/// One gateway that owns all shards.
+struct SingleGateway
 {
-  TestPlace mPlace;
-  Member mSelf = MakeMember("g1", kGateway);
+  FakeCluster mCluster;
+  Member mSelf = MakeMember("g1", kGatewayPort);
   std::unique_ptr<TestGateway> mGateway;
 
-  explicit Single(const std::vector<std::uint16_t>& aRunners)
+  explicit SingleGateway(const std::vector<std::uint16_t>& aRunners)
   {
     for (const std::uint16_t port : aRunners) {
-      mPlace.AddRunner(port);
+      mCluster.AddRunner(port);
     }
-    mPlace.Own("", mSelf);
-    mPlace.Join(mSelf);
-    mGateway = std::make_unique<TestGateway>(mPlace, mSelf);
+    mCluster.SetOwner("", mSelf);
+    mCluster.AddMember(mSelf);
+    mGateway = std::make_unique<TestGateway>(mCluster, mSelf);
     mGateway->WaitUntilServing();
   }
 
@@ -71,11 +71,12 @@
   }
 };
 
+/// Waits up to 5 s for a condition and checks that it holds.
 void
 WaitFor(const std::function<bool()>& aCondition)
 {
-  constexpr int kMostTries = 1000;
-  for (int i = 0; i < kMostTries && !aCondition(); ++i) {
+  constexpr int kMaxAttempts = 1000;
+  for (int i = 0; i < kMaxAttempts && !aCondition(); ++i) {
     std::this_thread::sleep_for(Millis(5));
   }
   CHECK_TRUE(aCondition());
@@ -85,14 +86,14 @@
 
 TEST_GROUP(Gateway){};
 
-// Guards against answers without an id or outcome, and against changed
-// answers.
+// Guards against replies without a request id or outcome, and against answers
+// that the gateway alters.
 TEST(Gateway, CarriesARequestToARunnerAndItsAnswerBack)
 {
-  ScriptedRunner runner(kRunner, [](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [](const std::string& aRequest) {
     return AnswerTo(aRequest, "at " + aRequest.substr(0, 11));
   });
-  Single single({ kRunner });
+  SingleGateway single({ kRunnerPort });
   const HttpReply reply = single.Order();
   LONGS_EQUAL(200, reply.mStatus);
   STRCMP_EQUAL("at POST /order", reply.mBody.c_str());
@@ -100,12 +101,13 @@
   CHECK_FALSE(FindHeader(reply.mHeaders, kRequestIdHeader).empty());
 }
 
-// Guards against a runner that gets more than 8 requests at once.
+// Guards against more than 8 requests at once at a runner, which is its number
+// of slots.
 TEST(Gateway, KeepsTheSlotLimitUnderConcurrency)
 {
   std::atomic<int> running{ 0 };
   std::atomic<int> most{ 0 };
-  ScriptedRunner runner(kRunner, [&](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [&](const std::string& aRequest) {
     const int now = ++running;
     int seen = most;
     while (seen < now && !most.compare_exchange_weak(seen, now)) {
@@ -114,7 +116,7 @@
     --running;
     return AnswerTo(aRequest, "x");
   });
-  Single single({ kRunner });
+  SingleGateway single({ kRunnerPort });
   std::vector<std::thread> callers;
   std::atomic<int> answered{ 0 };
   constexpr int kCallers = 24;
@@ -135,14 +137,14 @@
   CHECK_TRUE(most > 1);
 }
 
-// Guards against a second run of an order whose connection was closed after
-// the runner had read it.
+// Guards against a second run of an order when the runner reads it and closes
+// the connection without an answer.
 TEST(Gateway, AnOrderThatWasReadAndDroppedArrivesOnceAndIsUnknown)
 {
-  ScriptedRunner runner(kRunner, [](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [](const std::string& aRequest) {
     return IsOrder(aRequest) ? std::string() : AnswerTo(aRequest, "x");
   });
-  Single single({ kRunner });
+  SingleGateway single({ kRunnerPort });
   const int before = runner.Arrivals();
   const HttpReply reply = single.Order();
   LONGS_EQUAL(504, reply.mStatus);
@@ -150,40 +152,41 @@
   LONGS_EQUAL(1, runner.Arrivals() - before);
 }
 
-// Guards against a truncated answer that is passed on as complete.
+// Guards against a truncated answer that is passed on as if it were complete.
 TEST(Gateway, ATruncatedAnswerIsUnknown)
 {
-  ScriptedRunner runner(kRunner, [](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [](const std::string& aRequest) {
     const std::string whole = AnswerTo(aRequest, "a whole answer");
     return IsOrder(aRequest) ? whole.substr(0, whole.size() - 5) : whole;
   });
-  Single single({ kRunner });
+  SingleGateway single({ kRunnerPort });
   STRCMP_EQUAL("unknown", OutcomeHeader(single.Order()).c_str());
 }
 
-// Guards against the answer of another request that reaches this caller.
+// Guards against a caller that receives the answer to another request.
 TEST(Gateway, AnAnswerWithAnotherRequestsIdIsNotPassedOn)
 {
-  ScriptedRunner runner(kRunner, [](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [](const std::string& aRequest) {
     if (!IsOrder(aRequest)) {
       return AnswerTo(aRequest, "x");
     }
     return AnswerTo("\r\nPaddle-Request-Id: other\r\n", "somebody else's");
   });
-  Single single({ kRunner });
+  SingleGateway single({ kRunnerPort });
   const HttpReply reply = single.Order();
   STRCMP_EQUAL("unknown", OutcomeHeader(reply).c_str());
   CHECK_TRUE(reply.mBody.find("somebody") == std::string::npos);
 }
 
 // Guards against requests that fail because one of two runners is down, and
-// against a refusal "not run" that is not true.
+// against requests that run twice because a refused connection was retried.
 TEST(Gateway, ARefusedConnectionIsRetriedElsewhere)
 {
-  ScriptedRunner runner(kRunner, [](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [](const std::string& aRequest) {
     return AnswerTo(aRequest, "x");
   });
-  Single single({ kRunner, kOtherRunner }); // Nobody listens on the second.
+  SingleGateway single(
+    { kRunnerPort, kOtherRunnerPort }); // Nobody listens on the second.
   const int before = runner.Arrivals();
   constexpr int kOrders = 10;
   for (int i = 0; i < kOrders; ++i) {
@@ -192,15 +195,15 @@
   LONGS_EQUAL(kOrders, runner.Arrivals() - before);
 }
 
-// Guards against "unknown" where no runner was reached, so that the caller
-// doesn't know that a repeat is safe.
+// Guards against the outcome "unknown" when no runner could be reached; the
+// caller could not tell that it is safe to repeat the request.
 TEST(Gateway, RefusesNotRunWhenNoRunnerCanBeReached)
 {
-  TestPlace place;
-  const Member self = MakeMember("g1", kGateway);
-  place.AddRunner(kOtherRunner);
-  place.Own("", self);
-  TestGateway gateway(place, self);
+  FakeCluster cluster;
+  const Member self = MakeMember("g1", kGatewayPort);
+  cluster.AddRunner(kOtherRunnerPort);
+  cluster.SetOwner("", self);
+  TestGateway gateway(cluster, self);
   for (int i = 0; i < 5; ++i) {
     const HttpReply reply = gateway->Handle(MakeRequest("/order"));
     LONGS_EQUAL(503, reply.mStatus);
@@ -208,12 +211,13 @@
   }
 }
 
-// Guards against an order that runs twice because the caller repeated it.
+// Guards against an order that runs twice because the caller repeated it with
+// the same key, during the first run or after it.
 TEST(Gateway, ADuplicateKeyRunsOnceAndGetsTheSameAnswer)
 {
   Gate gate;
   std::atomic<int> orders{ 0 };
-  ScriptedRunner runner(kRunner, [&](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [&](const std::string& aRequest) {
     if (!IsOrder(aRequest)) {
       return AnswerTo(aRequest, "x");
     }
@@ -221,7 +225,7 @@
     gate.Wait();
     return AnswerTo(aRequest, "order " + std::to_string(number));
   });
-  Single single({ kRunner });
+  SingleGateway single({ kRunnerPort });
   HttpReply first;
   HttpReply during;
   std::thread one([&] { first = single.Order("k1"); });
@@ -238,50 +242,51 @@
   STRCMP_EQUAL("order 2", single.Order("k2").mBody.c_str());
 }
 
-// Guards against the answer of one customer that reaches another who chose
-// the same key.
-TEST(Gateway, KeysOfDifferentCustomersDiffer)
+// Guards against a client account that receives the answer stored for another
+// account that chose the same key.
+TEST(Gateway, SeparatesEqualKeysOfDifferentClientAccounts)
 {
-  ScriptedRunner runner(kRunner, [](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [](const std::string& aRequest) {
     return AnswerTo(aRequest, HeaderOf(aRequest, "Paddle-Customer"));
   });
-  Single single({ kRunner });
-  for (const char* customer : { "brewer", "grower", "brewer" }) {
+  SingleGateway single({ kRunnerPort });
+  for (const char* account : { "brewer", "grower", "brewer" }) {
     HttpRequest request = MakeRequest("/order", "k1");
-    request.mHeaders.emplace_back(kCustomerHeader, customer);
-    STRCMP_EQUAL(customer, (*single.mGateway)->Handle(request).mBody.c_str());
+    request.mHeaders.emplace_back(kClientAccountHeader, account);
+    STRCMP_EQUAL(account, (*single.mGateway)->Handle(request).mBody.c_str());
   }
 }
 
-// Guards against a key that stays blocked although its order was refused.
+// Guards against a key that can't be used again although its order was refused
+// and did not run.
 TEST(Gateway, AKeyMayBeUsedAgainAfterARefusal)
 {
-  TestPlace place;
-  const Member self = MakeMember("g1", kGateway);
-  place.AddRunner(kRunner);
-  place.Own("", self);
-  TestGateway gateway(place, self);
+  FakeCluster cluster;
+  const Member self = MakeMember("g1", kGatewayPort);
+  cluster.AddRunner(kRunnerPort);
+  cluster.SetOwner("", self);
+  TestGateway gateway(cluster, self);
   const HttpReply refused = gateway->Handle(MakeRequest("/order", "k1"));
   STRCMP_EQUAL("refused", OutcomeHeader(refused).c_str());
-  ScriptedRunner runner(kRunner, [](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [](const std::string& aRequest) {
     return AnswerTo(aRequest, "x");
   });
   gateway.WaitUntilServing();
   LONGS_EQUAL(200, gateway->Handle(MakeRequest("/order", "k1")).mStatus);
 }
 
-// Guards against a caller that waits for ever on a silent connection, and
-// against judging the runner without a probe.
-TEST(Gateway, ASilentConnectionTimesOutAndTheProbeDecides)
+// Guards against a caller that waits forever when a runner does not answer, and
+// against a runner that is taken out of use after a time-out without a probe.
+TEST(Gateway, AnUnansweredRequestTimesOutAndAProbeDecidesAboutTheRunner)
 {
   Gate gate;
-  ScriptedRunner runner(kRunner, [&](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [&](const std::string& aRequest) {
     if (IsOrder(aRequest)) {
       gate.Wait();
     }
     return AnswerTo(aRequest, "x");
   });
-  Single single({ kRunner });
+  SingleGateway single({ kRunnerPort });
   const HttpReply reply = single.Order({}, "100");
   STRCMP_EQUAL("unknown", OutcomeHeader(reply).c_str());
   WaitFor([&] { return runner.Probes() >= 1; });
@@ -290,19 +295,19 @@
   gate.Open();
 }
 
-// Guards against requests to a runner of which every new connection is
-// silent.
+// Guards against requests that are sent to a runner that answers on no
+// connection, probes included.
 TEST(Gateway, ARunnerWhoseProbesFailGetsNoRequests)
 {
   std::atomic<bool> silent{ false };
   Gate gate;
-  ScriptedRunner runner(kRunner, [&](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [&](const std::string& aRequest) {
     if (silent) {
       gate.Wait();
     }
     return AnswerTo(aRequest, "x");
   });
-  Single single({ kRunner });
+  SingleGateway single({ kRunnerPort });
   silent = true;
   STRCMP_EQUAL("unknown", OutcomeHeader(single.Order({}, "100")).c_str());
   WaitFor([&] { return single.Order({}, "50").mStatus == 503; });
@@ -311,19 +316,19 @@
   single.mGateway->WaitUntilServing();
 }
 
-// Guards against a stop that cuts a request in flight.
-TEST(Gateway, DrainCutsNoRequest)
+// Guards against a shutdown that interrupts a request in flight.
+TEST(Gateway, DrainInterruptsNoRequest)
 {
   Gate gate;
   std::atomic<bool> entered{ false };
-  ScriptedRunner runner(kRunner, [&](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [&](const std::string& aRequest) {
     if (IsOrder(aRequest)) {
       entered = true;
       gate.Wait();
     }
     return AnswerTo(aRequest, "whole");
   });
-  Single single({ kRunner });
+  SingleGateway single({ kRunnerPort });
   HttpClient client({});
   HttpReply reply;
   std::thread caller([&] {
@@ -350,19 +355,20 @@
   STRCMP_EQUAL("whole", reply.mBody.c_str());
 }
 
-// Guards against watches that keep a leaving process alive or are cut.
+// Guards against watches that delay a shutdown or end without a complete
+// answer.
 TEST(Gateway, AWatchGetsACompleteAnswerOnDrain)
 {
   Gate gate;
   std::atomic<bool> entered{ false };
-  ScriptedRunner runner(kRunner, [&](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [&](const std::string& aRequest) {
     if (aRequest.starts_with("POST /watch")) {
       entered = true;
       gate.Wait();
     }
     return AnswerTo(aRequest, "x");
   });
-  Single single({ kRunner });
+  SingleGateway single({ kRunnerPort });
   TestGateway& gateway = *single.mGateway;
   HttpReply reply;
   std::thread caller([&] { reply = gateway->Handle(MakeRequest("/watch")); });
@@ -377,20 +383,21 @@
   gate.Open();
 }
 
-// Guards against a decision that can't be explained to its customer.
+// Guards against decisions without a record, which could not be explained to
+// the client account concerned.
 TEST(Gateway, StoresARecordOfEachDecision)
 {
-  ScriptedRunner runner(kRunner, [](const std::string& aRequest) {
+  ScriptedRunner runner(kRunnerPort, [](const std::string& aRequest) {
     return AnswerTo(aRequest, "x");
   });
-  Single single({ kRunner });
+  SingleGateway single({ kRunnerPort });
   HttpRequest request = MakeRequest("/order");
-  request.mHeaders.emplace_back(kCustomerHeader, "grower 7");
+  request.mHeaders.emplace_back(kClientAccountHeader, "grower 7");
   const HttpReply reply = (*single.mGateway)->Handle(request);
   const std::string id(FindHeader(reply.mHeaders, kRequestIdHeader));
   WaitFor(
-    [&] { return single.mPlace.Records().find(id) != std::string::npos; });
-  const std::string records = single.mPlace.Records();
+    [&] { return single.mCluster.Records().find(id) != std::string::npos; });
+  const std::string records = single.mCluster.Records();
   CHECK_TRUE(records.find("grower 7") != std::string::npos);
   CHECK_TRUE(records.find("\"rule\":\"free-slot\"") != std::string::npos);
 }
--- a/Tests/LibGateway/TestPeers.cpp
+++ b/Tests/LibGateway/TestPeers.cpp
@@ -13,37 +13,38 @@
 
 namespace {
 
-constexpr std::uint16_t kRunner = 21011;
+constexpr std::uint16_t kRunnerPort = 21011;
 
-/// Two gateways; the second owns all runners. The first owns all key shards
-/// and has named the second as its successor.
-struct Pair
+/// Two gateways. The second owns all runner shards. The first owns all key
+/// shards and has named the second as its successor.
+struct GatewayPair
 {
-  TestPlace mPlace;
+  FakeCluster mCluster;
   Member mFirst = MakeMember("g1", 21101);
   Member mSecond = MakeMember("g2", 21102);
   std::unique_ptr<TestGateway> mOne;
   std::unique_ptr<TestGateway> mTwo;
 
-  Pair()
+  GatewayPair()
   {
-    mPlace.AddRunner(kRunner);
-    mPlace.Own("runner/", mSecond);
-    mPlace.Own("key/", mFirst);
-    mPlace.SetSuccessor(mFirst, mSecond);
-    mPlace.Join(mFirst);
-    mPlace.Join(mSecond);
-    mOne = std::make_unique<TestGateway>(mPlace, mFirst);
-    mTwo = std::make_unique<TestGateway>(mPlace, mSecond);
+    mCluster.AddRunner(kRunnerPort);
+    mCluster.SetOwner("runner/", mSecond);
+    mCluster.SetOwner("key/", mFirst);
+    mCluster.SetSuccessor(mFirst, mSecond);
+    mCluster.AddMember(mFirst);
+    mCluster.AddMember(mSecond);
+    mOne = std::make_unique<TestGateway>(mCluster, mFirst);
+    mTwo = std::make_unique<TestGateway>(mCluster, mSecond);
     mTwo->WaitUntilServing();
     mOne->WaitUntilServing();
   }
 };
 
+/// A runner that answers each order with its number.
 struct CountingRunner
 {
   std::atomic<int> mOrders{ 0 };
-  ScriptedRunner mRunner{ kRunner, [this](const std::string& aRequest) {
+  ScriptedRunner mRunner{ kRunnerPort, [this](const std::string& aRequest) {
                            const bool order =
                              aRequest.starts_with("POST /order");
                            const int number = order ? ++mOrders : 0;
@@ -55,24 +56,25 @@
 
 TEST_GROUP(Peers){};
 
-// Guards against requests that are refused at a gateway without free slots
-// while a peer has some.
+// Guards against a gateway that has no free slots refusing a request although a
+// peer has some.
 TEST(Peers, ForwardsToThePeerWithFreeSlots)
 {
   CountingRunner runner;
-  Pair pair;
+  GatewayPair pair;
   const HttpReply reply = (*pair.mOne)->Handle(MakeRequest("/order"));
   LONGS_EQUAL(200, reply.mStatus);
   STRCMP_EQUAL("1", reply.mBody.c_str());
-  // The id is the one of the gateway that the caller reached.
+  // The request keeps the id that the first gateway gave it.
   CHECK_TRUE(FindHeader(reply.mHeaders, kRequestIdHeader).starts_with("g1-"));
 }
 
-// Guards against two runs of an order that was sent to two gateways.
+// Guards against an order that runs twice because the caller sent it, with the
+// same key, to two gateways.
 TEST(Peers, AKeyRunsOnceThroughAnyGateway)
 {
   CountingRunner runner;
-  Pair pair;
+  GatewayPair pair;
   STRCMP_EQUAL("1",
                (*pair.mTwo)->Handle(MakeRequest("/order", "k")).mBody.c_str());
   STRCMP_EQUAL("1",
@@ -80,90 +82,93 @@
   LONGS_EQUAL(1, runner.mOrders.load());
 }
 
-// Guards against a second run after the owner of a key died: the successor
-// has the answer, and runs new keys.
+// Guards against a second run of an order after the owner of its key has died.
+// The successor returns the stored answer, and it runs orders with new keys.
 TEST(Peers, TheSuccessorReplaysTheAnswerOfADeadOwner)
 {
   CountingRunner runner;
-  Pair pair;
+  GatewayPair pair;
   STRCMP_EQUAL("1",
                (*pair.mOne)->Handle(MakeRequest("/order", "k")).mBody.c_str());
   pair.mOne.reset();
-  pair.mPlace.Own("key/", pair.mSecond, 2, Acquisition::Successor);
+  pair.mCluster.SetOwner("key/", pair.mSecond, 2, Acquisition::Successor);
   STRCMP_EQUAL("1",
                (*pair.mTwo)->Handle(MakeRequest("/order", "k")).mBody.c_str());
   STRCMP_EQUAL(
     "2", (*pair.mTwo)->Handle(MakeRequest("/order", "new")).mBody.c_str());
 }
 
-// Guards against a second run where the copies were lost with two processes.
-TEST(Peers, AnyOtherOwnerAnswersUnknown)
+// Guards against a second run of an order after the owner of its key and the
+// successor with the copy were both lost. A new owner without a copy must not
+// run any key, because it may have run before.
+TEST(Peers, ANewOwnerWithoutACopyAnswersUnknown)
 {
   CountingRunner runner;
-  Pair pair;
-  pair.mPlace.Own("key/", pair.mSecond, 2, Acquisition::Takeover);
+  GatewayPair pair;
+  pair.mCluster.SetOwner("key/", pair.mSecond, 2, Acquisition::Takeover);
   const HttpReply reply = (*pair.mTwo)->Handle(MakeRequest("/order", "new"));
   STRCMP_EQUAL("unknown", OutcomeHeader(reply).c_str());
   LONGS_EQUAL(0, runner.mOrders.load());
 }
 
-// Guards against an answer that is lost in a hand-over.
-TEST(Peers, AHandOverPassesTheKeysOn)
+// Guards against answers that are lost when a key shard is handed over.
+TEST(Peers, AHandOverTransfersTheKeys)
 {
   CountingRunner runner;
-  Pair pair;
+  GatewayPair pair;
   STRCMP_EQUAL("1",
                (*pair.mOne)->Handle(MakeRequest("/order", "k")).mBody.c_str());
-  pair.mPlace.Own("key/", pair.mSecond, 2, Acquisition::HandOver);
+  pair.mCluster.SetOwner("key/", pair.mSecond, 2, Acquisition::HandOver);
   STRCMP_EQUAL("1",
                (*pair.mTwo)->Handle(MakeRequest("/order", "k")).mBody.c_str());
   LONGS_EQUAL(1, runner.mOrders.load());
 }
 
-// Guards against keys that are lost when the predecessor has left before the
-// new owner asks it: the copy at the predecessor's successor counts.
-TEST(Peers, AHandOverFromAProcessThatIsGoneUsesTheCopy)
+// Guards against keys that are lost when the previous owner has exited before
+// the new owner asks it for them. The new owner must then use the copy at the
+// previous owner's successor.
+TEST(Peers, AHandOverFromAnExitedProcessUsesTheCopy)
 {
   CountingRunner runner;
-  Pair pair;
+  GatewayPair pair;
   const Member third = MakeMember("g3", 21103);
-  pair.mPlace.Join(third);
-  TestGateway three(pair.mPlace, third);
+  pair.mCluster.AddMember(third);
+  TestGateway three(pair.mCluster, third);
   STRCMP_EQUAL("1",
                (*pair.mOne)->Handle(MakeRequest("/order", "k")).mBody.c_str());
   pair.mOne.reset();
-  pair.mPlace.Own("key/", third, 2, Acquisition::HandOver);
+  pair.mCluster.SetOwner("key/", third, 2, Acquisition::HandOver);
   STRCMP_EQUAL("1", three->Handle(MakeRequest("/order", "k")).mBody.c_str());
   LONGS_EQUAL(1, runner.mOrders.load());
 }
 
-// Guards against keys that are lost when a successor passes a shard on at once,
-// before it has used it.
-TEST(Peers, ASuccessorThatPassesAShardOnAtOncePassesTheCopyOn)
+// Guards against keys that are lost when a successor acquires a shard and hands
+// it over again before it has adopted its copy of the keys.
+TEST(Peers, ASuccessorThatHandsOverBeforeAdoptionTransfersTheCopy)
 {
   CountingRunner runner;
-  Pair pair;
+  GatewayPair pair;
   const Member third = MakeMember("g3", 21103);
-  pair.mPlace.Join(third);
-  TestGateway three(pair.mPlace, third);
+  pair.mCluster.AddMember(third);
+  TestGateway three(pair.mCluster, third);
   STRCMP_EQUAL("1",
                (*pair.mOne)->Handle(MakeRequest("/order", "k")).mBody.c_str());
   pair.mOne.reset();
   for (std::uint32_t i = 0; i < kKeyShards; ++i) {
     CHECK_TRUE((*pair.mTwo)->Quiescent(KeyShardId(i)));
   }
-  pair.mPlace.Own("key/", third, 3, Acquisition::HandOver);
+  pair.mCluster.SetOwner("key/", third, 3, Acquisition::HandOver);
   STRCMP_EQUAL("1", three->Handle(MakeRequest("/order", "k")).mBody.c_str());
   LONGS_EQUAL(1, runner.mOrders.load());
 }
 
-// Guards against a key that runs without a copy at the named successor, which
-// would run it again after a takeover.
+// Guards against an order that runs although the named successor has no copy of
+// its key; after a takeover the successor would run it again.
 TEST(Peers, RefusesNotRunWhenTheSuccessorDoesNotConfirm)
 {
   CountingRunner runner;
-  Pair pair;
-  pair.mPlace.SetSuccessor(pair.mFirst, MakeMember("gone", 21199));
+  GatewayPair pair;
+  pair.mCluster.SetSuccessor(pair.mFirst, MakeMember("gone", 21199));
   const HttpReply reply = (*pair.mOne)->Handle(MakeRequest("/order", "k"));
   LONGS_EQUAL(503, reply.mStatus);
   STRCMP_EQUAL("refused", OutcomeHeader(reply).c_str());
