--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -34,8 +34,9 @@
 
 } // namespace
 
-/// The components of a gateway. Members are destroyed in reverse order, so the
-/// components that post events come after those that they refer to.
+/// The components of a gateway. Members are destroyed in reverse order: the
+/// components that post events first, and the components that they refer to
+/// afterwards.
 struct Gateway::State
 {
   State(GatewaySettings aSettings, GatewayPorts aPorts, RoutingPolicy aPolicy)
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -27,12 +27,12 @@
   /// fixed, because a runner must not change its shard when other runners are
   /// added or removed.
   std::uint32_t mShardsPerDataCentre = 8;
-  Millis mHostListInterval{ 1000 }; ///< Between reads of the host list.
-  Millis mOwnershipInterval{ 50 };  ///< Between checks of shard ownership.
-  Millis mSummaryInterval{ 100 };   ///< Between summaries sent to peers.
-  Millis mPeerTimeout{ 300 };       ///< Of an RPC call between gateways.
-  Millis mProbeTimeout{ 500 };      ///< Of one health probe of a runner.
-  Millis mRecordInterval{ 1000 };   ///< Between stores of decision records.
+  Millis mHostListInterval{ 1000 }; ///< Interval of reads of the host list.
+  Millis mOwnershipInterval{ 50 };  ///< Interval of checks of shard ownership.
+  Millis mSummaryInterval{ 100 };   ///< Interval of exchanges with peers.
+  Millis mPeerTimeout{ 300 };       ///< Time-out of an RPC call to a peer.
+  Millis mProbeTimeout{ 500 };      ///< Time-out of a health probe.
+  Millis mRecordInterval{ 1000 };   ///< Interval of stores of records.
 };
 
 } // namespace paddle
--- a/Libraries/LibGateway/IdempotencyKeyStore.cpp
+++ b/Libraries/LibGateway/IdempotencyKeyStore.cpp
@@ -265,8 +265,8 @@
 
 /// @return the member that must hold a copy of each key, if there is one: the
 ///         named successor. A process that leaves names no successor any more;
-///         the member that holds the latest complete copy stays in charge
-///         then, because the new owners of the shards rely on its copy.
+///         the member that holds the latest complete copy remains the copy
+///         holder then, because the new owners of the shards rely on it.
 std::optional<Member>
 IdempotencyKeyStore::CopyHolder(const Shard& aShard) const
 {
--- a/Libraries/LibGateway/IdempotencyKeyStore.h
+++ b/Libraries/LibGateway/IdempotencyKeyStore.h
@@ -60,7 +60,8 @@
   /// @param aAnswer the encoded reply
   void Finish(const std::string& aKey, std::string aAnswer);
 
-  /// Records that a key's request may have run; it is never run again.
+  /// Records that a key's request may have run. A repeat of it is not run while
+  /// the key is remembered.
   void EndUnknown(const std::string& aKey);
 
   /// Forgets a key whose request certainly did not run, so that a repeat of it
@@ -81,15 +82,18 @@
   [[nodiscard]] RpcMethods Methods();
 
 private:
+  /// The state of one key shard in this process.
   struct Shard
   {
     std::mutex mMutex;
-    std::condition_variable mChanged; ///< Notified when a request has ended.
-    KeyMemory mMemory; ///< The keys as the owner, or a copy of them.
-    /// Epoch of the ownership for which Adopt() last prepared this shard; 0
+    std::condition_variable mChanged; ///< It is notified when a request ends.
+    /// The keys of a shard that this process owns, or the copy of an owner's
+    /// keys.
+    KeyMemory mMemory;
+    /// The epoch of the ownership for which Adopt() last prepared this shard; 0
     /// before the first.
     std::uint64_t mEpoch = 0;
-    /// Number of requests with keys of this shard that run in this process.
+    /// The number of requests with keys of this shard that run in this process.
     std::uint32_t mRunning = 0;
     /// The member that holds a complete copy of the keys of mEpoch; empty if
     /// there is none or a call to it has failed.
@@ -98,8 +102,8 @@
     /// adopted it. No key was started in its own epoch then, so its copy of
     /// the previous epoch is still complete.
     bool mHandedOverUnadopted = false;
-    /// Epoch of the owner whose keys this process holds as a complete copy; 0
-    /// if it holds none.
+    /// The epoch of the owner whose keys this process holds as a complete copy;
+    /// 0 if it holds none.
     std::uint64_t mCopyEpoch = 0;
   };
 
--- a/Libraries/LibGateway/Mailbox.h
+++ b/Libraries/LibGateway/Mailbox.h
@@ -16,14 +16,14 @@
 {
   Endpoint mRunner;
   std::string mShard;       ///< The shard that the runner belongs to.
-  std::uint64_t mEpoch = 0; ///< Of the shard when the slot was assigned.
-  MonotonicTime mTryEnds{}; ///< When to stop waiting for the answer.
+  std::uint64_t mEpoch = 0; ///< The shard's epoch when the slot was assigned.
+  MonotonicTime mTryEnds{}; ///< The wait for the answer ends then.
 };
 
 /// Tells the HTTP thread to forward the request to a peer gateway.
 struct PeerCommand
 {
-  std::string mPeer; ///< Member name of the peer.
+  std::string mPeer; ///< The member name of the peer.
 };
 
 /// Tells the HTTP thread to end the request without a runner's answer.
--- a/Libraries/LibGateway/PeerExchange.h
+++ b/Libraries/LibGateway/PeerExchange.h
@@ -46,7 +46,7 @@
   IdempotencyKeyStore& mKeys;
   /// When a peer that did not answer may be called again, by incarnation.
   std::map<std::string, MonotonicTime> mBackOffUntil;
-  Ring<int> mStop{ 1 }; ///< Always empty; closing it stops the thread.
+  Ring<int> mStop{ 1 }; ///< It is always empty; closing it stops the thread.
   std::thread mThread;
 };
 
--- a/Libraries/LibGateway/RecordWriter.h
+++ b/Libraries/LibGateway/RecordWriter.h
@@ -42,7 +42,7 @@
 
   struct Batch
   {
-    std::string mName; ///< Name of the object in the store.
+    std::string mName; ///< The object's name in the store.
     std::string mBody;
   };
 
@@ -52,7 +52,7 @@
   Metrics& mMetrics;
   Ring<RequestRecord> mRing;
   std::deque<Batch> mPendingBatches;
-  std::uint64_t mSequence; ///< Of the next batch.
+  std::uint64_t mSequence; ///< The sequence number of the next batch.
   std::thread mThread;
 };
 
--- a/Libraries/LibGateway/RequestHandler.cpp
+++ b/Libraries/LibGateway/RequestHandler.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Time that a peer gets beyond the deadline to report the outcome. Without it,
+/// A peer gets this time beyond the deadline to report the outcome. Without it,
 /// a request that the peer refused at its deadline would count as unknown.
 constexpr Millis kPeerGraceMs{ 100 };
 
--- a/Libraries/LibGateway/RequestHandler.h
+++ b/Libraries/LibGateway/RequestHandler.h
@@ -33,10 +33,10 @@
   std::string mId;
   std::string mService;
   std::string mClientAccount;
-  /// Idempotency key together with the service, client account, method and
+  /// The idempotency key together with the service, client account, method and
   /// path that it applies to; empty if the request has none.
   std::string mScopedKey;
-  std::string mKeyHeader; ///< Idempotency key as the caller sent it.
+  std::string mKeyHeader; ///< The idempotency key as the caller sent it.
   Forwarded mForwarded = Forwarded::No;
   Route mRoute;
   MonotonicTime mDeadline{};
@@ -72,8 +72,8 @@
   struct Try
   {
     TryResult mResult = TryResult::Withheld;
-    HttpReply mReply;     ///< Only if a reply arrived.
-    std::string mProblem; ///< What went wrong, for the log; else empty.
+    HttpReply mReply;     ///< It is set only if a reply arrived.
+    std::string mProblem; ///< What went wrong, for the log; may be empty.
   };
 
   std::optional<ReplyWithOutcome> Parse(const HttpRequest& aRequest,
--- a/Libraries/LibGateway/RequestRecord.cpp
+++ b/Libraries/LibGateway/RequestRecord.cpp
@@ -7,7 +7,7 @@
 /// The texts that describe a rule.
 struct RuleText
 {
-  const char* mName;        ///< In decision records.
+  const char* mName;        ///< The name in decision records.
   const char* mText;        ///< The reason, for the caller.
   const char* mWouldChange; ///< What would have led to another decision.
 };
--- a/Libraries/LibGateway/RoutingThread.cpp
+++ b/Libraries/LibGateway/RoutingThread.cpp
@@ -48,7 +48,7 @@
 void
 RoutingThread::Post(const RoutingEvent& aEvent)
 {
-  // Between attempts to enter an event while the queue is full.
+  // The pause between attempts to queue an event while the queue is full.
   constexpr Micros kFullRingPause{ 100 };
   while (mRing.TryPush(aEvent) == PushResult::Full) {
     std::this_thread::sleep_for(kFullRingPause);
--- a/Libraries/LibGateway/RoutingThread.h
+++ b/Libraries/LibGateway/RoutingThread.h
@@ -105,17 +105,19 @@
   const std::size_t mMaxQueuedArrivals;
   RoutingOutputs mOutputs;
   Ring<RoutingEvent> mRing;
-  RoutingState mState; ///< Used by the routing thread only.
-  /// Used by the routing thread only; a member so that its memory is reused.
+  RoutingState mState; ///< It is used by the routing thread only.
+  /// The actions of the present event; used by the routing thread only. They
+  /// are a member so that their memory is reused.
   RoutingActions mActions;
-  /// Of the requests that have not ended; used by the routing thread only.
+  /// The mailboxes of the requests that have not ended; used by the routing
+  /// thread only.
   std::unordered_map<RequestNumber, std::shared_ptr<Mailbox>> mMailboxes;
   MonotonicTime mNextTick{};
-  mutable std::mutex mPublishedMutex; ///< Guards the next three members.
+  mutable std::mutex mPublishedMutex; ///< It guards the next three members.
   Summary mSummary;
-  std::vector<std::string> mBusyShards; ///< Runner shards with slots in use.
-  std::uint64_t mPublishCount = 0;      ///< Number of calls of Publish().
-  mutable std::condition_variable mPublished; ///< Notified by Publish().
+  std::vector<std::string> mBusyShards; ///< Shards that have slots in use.
+  std::uint64_t mPublishCount = 0;      ///< The number of calls of Publish().
+  mutable std::condition_variable mPublished; ///< Publish() notifies it.
   std::thread mThread;
 };
 
--- a/Libraries/LibGateway/RunnerFollower.h
+++ b/Libraries/LibGateway/RunnerFollower.h
@@ -52,12 +52,12 @@
   RoutingThread& mRouting;
   std::vector<HostEntry> mHosts;            ///< The host list as read last.
   std::map<std::string, ShardSpec> mShards; ///< All shards, by id.
-  /// Epochs of the runner shards that this process owns, as reported to the
+  /// The epochs of the runner shards that this process owns, as reported to the
   /// routing thread.
   std::map<std::string, std::uint64_t> mOwnedEpochs;
-  /// Configuration revision that ReportServices() used last.
+  /// The configuration revision that ReportServices() used last.
   std::uint64_t mReportedRevision = 0;
-  Ring<int> mStop{ 1 }; ///< Always empty; closing it stops the thread.
+  Ring<int> mStop{ 1 }; ///< It is always empty; closing it stops the thread.
   std::thread mThread;
 };
 
--- a/Libraries/LibGateway/WatchPool.h
+++ b/Libraries/LibGateway/WatchPool.h
@@ -37,7 +37,7 @@
 
 private:
   mutable std::mutex mMutex;
-  std::condition_variable mChanged; ///< A watch has ended, or Drain().
+  std::condition_variable mChanged; ///< A watch ended or Drain() was called.
   bool mDraining = false;
   unsigned mRunning = 0;
 };
--- a/Services/Gateway/main.cpp
+++ b/Services/Gateway/main.cpp
@@ -20,22 +20,22 @@
 
 namespace {
 
-/// Between polls of the configuration.
+/// The interval of polls of the configuration.
 constexpr Millis kConfigPollMs{ 1000 };
 
-/// Time for which requests are still served after the health page has begun to
-/// report "leaving". During this time the load balancer notices it and sends
-/// new requests to other gateways.
+/// Requests are still served for this time after the health page has begun to
+/// report "leaving". In the meantime the load balancer notices it and sends new
+/// requests to other gateways.
 constexpr Millis kLoadBalancerGraceMs{ 2000 };
 
-/// Longest wait for the requests in flight. No short request runs that long.
+/// The longest wait for requests in flight; no short request runs that long.
 constexpr Millis kRequestDrainTimeoutMs{ 30000 };
 
-/// Longest wait for the hand-over of all shards.
+/// The longest wait for the hand-over of all shards.
 constexpr Millis kHandOverTimeoutMs{ 10000 };
 
-/// Time after the hand-over during which the new owners of the key shards can
-/// fetch the keys from this process.
+/// After the hand-over, the new owners of the key shards can fetch the keys
+/// from this process for this time.
 constexpr Millis kKeyFetchGraceMs{ 1000 };
 
 /// @return an incarnation that differs from those of earlier processes: the
--- a/Tests/LibGateway/GatewayFixture.h
+++ b/Tests/LibGateway/GatewayFixture.h
@@ -52,7 +52,8 @@
   mutable std::mutex mMutex;
   std::vector<HostEntry> mHosts;
   std::shared_ptr<Configuration> mConfiguration;
-  std::map<std::string, ShardOwner> mOwners; ///< By prefix of the shard id.
+  std::map<std::string, ShardOwner>
+    mOwners; ///< The keys are prefixes of shard ids.
   std::map<std::string, Member> mSuccessors;
   std::vector<Member> mMembers;
   std::string mRecords;
--- a/Tests/LibGateway/TestGateway.cpp
+++ b/Tests/LibGateway/TestGateway.cpp
@@ -179,7 +179,8 @@
 }
 
 // Guards against requests that fail because one of two runners is down, and
-// against requests that run twice because a refused connection was retried.
+// against a try that counts as not run although the runner received it, so that
+// the retry runs the request twice.
 TEST(Gateway, ARefusedConnectionIsRetriedElsewhere)
 {
   ScriptedRunner runner(kRunnerPort, [](const std::string& aRequest) {
--- a/Tests/LibGateway/TestPeers.cpp
+++ b/Tests/LibGateway/TestPeers.cpp
@@ -22,8 +22,8 @@
   FakeCluster mCluster;
   Member mFirst = MakeMember("g1", 21101);
   Member mSecond = MakeMember("g2", 21102);
-  std::unique_ptr<TestGateway> mOne;
-  std::unique_ptr<TestGateway> mTwo;
+  std::unique_ptr<TestGateway> mFirstGateway;
+  std::unique_ptr<TestGateway> mSecondGateway;
 
   GatewayPair()
   {
@@ -33,10 +33,10 @@
     mCluster.SetSuccessor(mFirst, mSecond);
     mCluster.AddMember(mFirst);
     mCluster.AddMember(mSecond);
-    mOne = std::make_unique<TestGateway>(mCluster, mFirst);
-    mTwo = std::make_unique<TestGateway>(mCluster, mSecond);
-    mTwo->WaitUntilServing();
-    mOne->WaitUntilServing();
+    mFirstGateway = std::make_unique<TestGateway>(mCluster, mFirst);
+    mSecondGateway = std::make_unique<TestGateway>(mCluster, mSecond);
+    mSecondGateway->WaitUntilServing();
+    mFirstGateway->WaitUntilServing();
   }
 };
 
@@ -62,7 +62,7 @@
 {
   CountingRunner runner;
   GatewayPair pair;
-  const HttpReply reply = (*pair.mOne)->Handle(MakeRequest("/order"));
+  const HttpReply reply = (*pair.mFirstGateway)->Handle(MakeRequest("/order"));
   LONGS_EQUAL(200, reply.mStatus);
   STRCMP_EQUAL("1", reply.mBody.c_str());
   // The request keeps the id that the first gateway gave it.
@@ -75,10 +75,12 @@
 {
   CountingRunner runner;
   GatewayPair pair;
-  STRCMP_EQUAL("1",
-               (*pair.mTwo)->Handle(MakeRequest("/order", "k")).mBody.c_str());
-  STRCMP_EQUAL("1",
-               (*pair.mOne)->Handle(MakeRequest("/order", "k")).mBody.c_str());
+  STRCMP_EQUAL(
+    "1",
+    (*pair.mSecondGateway)->Handle(MakeRequest("/order", "k")).mBody.c_str());
+  STRCMP_EQUAL(
+    "1",
+    (*pair.mFirstGateway)->Handle(MakeRequest("/order", "k")).mBody.c_str());
   LONGS_EQUAL(1, runner.mOrders.load());
 }
 
@@ -88,14 +90,17 @@
 {
   CountingRunner runner;
   GatewayPair pair;
-  STRCMP_EQUAL("1",
-               (*pair.mOne)->Handle(MakeRequest("/order", "k")).mBody.c_str());
-  pair.mOne.reset();
+  STRCMP_EQUAL(
+    "1",
+    (*pair.mFirstGateway)->Handle(MakeRequest("/order", "k")).mBody.c_str());
+  pair.mFirstGateway.reset();
   pair.mCluster.SetOwner("key/", pair.mSecond, 2, Acquisition::Successor);
-  STRCMP_EQUAL("1",
-               (*pair.mTwo)->Handle(MakeRequest("/order", "k")).mBody.c_str());
   STRCMP_EQUAL(
-    "2", (*pair.mTwo)->Handle(MakeRequest("/order", "new")).mBody.c_str());
+    "1",
+    (*pair.mSecondGateway)->Handle(MakeRequest("/order", "k")).mBody.c_str());
+  STRCMP_EQUAL(
+    "2",
+    (*pair.mSecondGateway)->Handle(MakeRequest("/order", "new")).mBody.c_str());
 }
 
 // Guards against a second run of an order after the owner of its key and the
@@ -106,7 +111,8 @@
   CountingRunner runner;
   GatewayPair pair;
   pair.mCluster.SetOwner("key/", pair.mSecond, 2, Acquisition::Takeover);
-  const HttpReply reply = (*pair.mTwo)->Handle(MakeRequest("/order", "new"));
+  const HttpReply reply =
+    (*pair.mSecondGateway)->Handle(MakeRequest("/order", "new"));
   STRCMP_EQUAL("unknown", OutcomeHeader(reply).c_str());
   LONGS_EQUAL(0, runner.mOrders.load());
 }
@@ -116,11 +122,13 @@
 {
   CountingRunner runner;
   GatewayPair pair;
-  STRCMP_EQUAL("1",
-               (*pair.mOne)->Handle(MakeRequest("/order", "k")).mBody.c_str());
+  STRCMP_EQUAL(
+    "1",
+    (*pair.mFirstGateway)->Handle(MakeRequest("/order", "k")).mBody.c_str());
   pair.mCluster.SetOwner("key/", pair.mSecond, 2, Acquisition::HandOver);
-  STRCMP_EQUAL("1",
-               (*pair.mTwo)->Handle(MakeRequest("/order", "k")).mBody.c_str());
+  STRCMP_EQUAL(
+    "1",
+    (*pair.mSecondGateway)->Handle(MakeRequest("/order", "k")).mBody.c_str());
   LONGS_EQUAL(1, runner.mOrders.load());
 }
 
@@ -133,12 +141,14 @@
   GatewayPair pair;
   const Member third = MakeMember("g3", 21103);
   pair.mCluster.AddMember(third);
-  TestGateway three(pair.mCluster, third);
-  STRCMP_EQUAL("1",
-               (*pair.mOne)->Handle(MakeRequest("/order", "k")).mBody.c_str());
-  pair.mOne.reset();
+  TestGateway thirdGateway(pair.mCluster, third);
+  STRCMP_EQUAL(
+    "1",
+    (*pair.mFirstGateway)->Handle(MakeRequest("/order", "k")).mBody.c_str());
+  pair.mFirstGateway.reset();
   pair.mCluster.SetOwner("key/", third, 2, Acquisition::HandOver);
-  STRCMP_EQUAL("1", three->Handle(MakeRequest("/order", "k")).mBody.c_str());
+  STRCMP_EQUAL("1",
+               thirdGateway->Handle(MakeRequest("/order", "k")).mBody.c_str());
   LONGS_EQUAL(1, runner.mOrders.load());
 }
 
@@ -150,15 +160,17 @@
   GatewayPair pair;
   const Member third = MakeMember("g3", 21103);
   pair.mCluster.AddMember(third);
-  TestGateway three(pair.mCluster, third);
-  STRCMP_EQUAL("1",
-               (*pair.mOne)->Handle(MakeRequest("/order", "k")).mBody.c_str());
-  pair.mOne.reset();
+  TestGateway thirdGateway(pair.mCluster, third);
+  STRCMP_EQUAL(
+    "1",
+    (*pair.mFirstGateway)->Handle(MakeRequest("/order", "k")).mBody.c_str());
+  pair.mFirstGateway.reset();
   for (std::uint32_t i = 0; i < kKeyShards; ++i) {
-    CHECK_TRUE((*pair.mTwo)->Quiescent(KeyShardId(i)));
+    CHECK_TRUE((*pair.mSecondGateway)->Quiescent(KeyShardId(i)));
   }
   pair.mCluster.SetOwner("key/", third, 3, Acquisition::HandOver);
-  STRCMP_EQUAL("1", three->Handle(MakeRequest("/order", "k")).mBody.c_str());
+  STRCMP_EQUAL("1",
+               thirdGateway->Handle(MakeRequest("/order", "k")).mBody.c_str());
   LONGS_EQUAL(1, runner.mOrders.load());
 }
 
@@ -169,7 +181,8 @@
   CountingRunner runner;
   GatewayPair pair;
   pair.mCluster.SetSuccessor(pair.mFirst, MakeMember("gone", 21199));
-  const HttpReply reply = (*pair.mOne)->Handle(MakeRequest("/order", "k"));
+  const HttpReply reply =
+    (*pair.mFirstGateway)->Handle(MakeRequest("/order", "k"));
   LONGS_EQUAL(503, reply.mStatus);
   STRCMP_EQUAL("refused", OutcomeHeader(reply).c_str());
   LONGS_EQUAL(0, runner.mOrders.load());
