--- a/Libraries/LibGateway/RoutingThread.h
+++ b/Libraries/LibGateway/RoutingThread.h
@@ -81,10 +81,10 @@
   [[nodiscard]] Summary LatestSummary() const;
 
   /// Checks a runner shard before its hand-over. The call waits a few
-  /// milliseconds for a state that was published completely after the call
-  /// began, so that every slot assigned earlier is seen.
-  /// @return whether no slot of the shard is in use; false if no such state was
-  ///         published in time
+  /// milliseconds until the routing thread has read its state once more, so
+  /// that every slot assigned before the call is counted.
+  /// @return whether no slot of the shard is in use; false if the routing
+  ///         thread did not read its state in time
   [[nodiscard]] bool Quiescent(std::string_view aShard) const;
 
 private:
