--- a/Libraries/LibGateway/RequestRecord.cpp
+++ b/Libraries/LibGateway/RequestRecord.cpp
@@ -4,13 +4,15 @@
 
 namespace {
 
+/// The texts that describe a rule.
 struct RuleText
 {
-  const char* mName;
-  const char* mText;
-  const char* mWouldChange;
+  const char* mName;        ///< The name in decision records.
+  const char* mText;        ///< The reason, for the caller.
+  const char* mWouldChange; ///< What would have led to another decision.
 };
 
+/// @return the texts of a rule
 RuleText
 Describe(RoutingRule aRule)
 {
@@ -70,6 +72,7 @@
   return { "unknown", "unknown", "unknown" };
 }
 
+/// @return the decision as records name it
 Decision
 DecisionOf(DecisionKind aKind)
 {
@@ -86,6 +89,7 @@
   return Decision::Served;
 }
 
+/// @return a time in milliseconds
 double
 InMillis(Micros aTime)
 {
@@ -129,9 +133,9 @@
   record.mDecision = DecisionOf(why.mKind);
   record.mSubject = label.mRequestId;
   record.mService = label.mService;
-  record.mCustomer = label.mCustomer;
-  if (!aRecord.mOtherRule.empty()) {
-    record.mRule = aRecord.mOtherRule;
+  record.mCustomer = label.mClientAccount;
+  if (!aRecord.mNonRoutingRule.empty()) {
+    record.mRule = aRecord.mNonRoutingRule;
     return record;
   }
   record.mRule = NameOf(why.mRule);
