--- a/Libraries/LibScheduler/Committer.cpp
+++ b/Libraries/LibScheduler/Committer.cpp
@@ -10,13 +10,16 @@
 
 namespace {
 
-/// Bounds the memory of a store outage; then submits are refused.
-constexpr std::size_t kRingSize = 20000;
+/// Items that may wait for the commit thread. The limit bounds the memory that
+/// they take while the table service is unavailable; beyond it, submits are
+/// refused.
+constexpr std::size_t kItemRingCapacity = 20000;
 
-/// Rows in one transaction.
-constexpr std::size_t kGroupSize = 64;
+/// The most job rows that one transaction writes.
+constexpr std::size_t kMaxCommitsPerTransaction = 64;
 
-constexpr Millis kRetryPause{ 200 };
+/// Pause before a transaction that failed is tried again.
+constexpr Millis kRetryDelay{ 200 };
 
 bool
 IsService(const CommitItem& aItem)
@@ -24,6 +27,8 @@
   return aItem.mCommit.mRow.mSpec.mClass == TaskClass::Service;
 }
 
+/// Adds the writes of the job row, and of the job id row if the job is new or
+/// done.
 void
 AddWrites(TableTransaction& aTransaction, const CommitItem& aItem)
 {
@@ -31,7 +36,7 @@
   const std::string& job = row.mSpec.mJob;
   const bool terminal = IsTerminal(row.mPhase);
   // The row of a job that is done is deleted, so that a takeover reads only
-  // the jobs that still matter; its id keeps how it ended.
+  // unfinished jobs. The job id row keeps how the job ended.
   aTransaction.mWrites.push_back(
     { JobKey(aItem.mShard, job),
       terminal ? std::nullopt : std::optional<std::string>(JobRowText(row)) });
@@ -43,6 +48,7 @@
   }
 }
 
+/// @return the row with the key among those whose conditions failed, or null
 const TableRow*
 FindRow(const Conflict& aConflict, const std::string& aKey)
 {
@@ -58,7 +64,7 @@
 Committer::Committer(const SchedulerPorts& aPorts, SchedulerRing& aEvents)
   : mPorts(aPorts)
   , mEvents(aEvents)
-  , mItems(kRingSize)
+  , mItems(kItemRingCapacity)
   , mThread([this] { Run(); })
 {
 }
@@ -81,10 +87,10 @@
 PushResult
 Committer::TryPush(CommitterItem aItem)
 {
-  ++mPending;
+  ++mPendingItems;
   const PushResult result = mItems.TryPush(std::move(aItem));
   if (result != PushResult::Accepted) {
-    --mPending;
+    --mPendingItems;
   }
   return result;
 }
@@ -92,17 +98,18 @@
 bool
 Committer::Idle() const
 {
-  return mPending == 0;
+  return mPendingItems == 0;
 }
 
 void
 Committer::Run()
 {
-  constexpr Millis kWait{ 100 };
+  // How long the thread waits for an item before it checks whether to stop.
+  constexpr Millis kMaxWait{ 100 };
   while (!mStopping) {
     std::optional<CommitterItem> item =
-      mNext ? std::move(mNext) : mItems.Pop(kWait);
-    mNext.reset();
+      mDeferredItem ? std::move(mDeferredItem) : mItems.Pop(kMaxWait);
+    mDeferredItem.reset();
     if (!item) {
       continue;
     }
@@ -110,24 +117,23 @@
       auto group = CollectGroup(std::move(*commit));
       const std::size_t size = group.size();
       Perform(std::move(group));
-      mPending -= size;
+      mPendingItems -= size;
     } else if (auto* move = std::get_if<MoveItem>(&*item)) {
       Perform(*move);
-      --mPending;
+      --mPendingItems;
     } else {
       Perform(std::get<LoadItem>(*item));
-      --mPending;
+      --mPendingItems;
     }
   }
 }
 
-/// Takes the commits that are waiting for the same shard.
 std::vector<CommitItem>
 Committer::CollectGroup(CommitItem aFirst)
 {
   std::vector<CommitItem> group;
   group.push_back(std::move(aFirst));
-  while (group.size() < kGroupSize) {
+  while (group.size() < kMaxCommitsPerTransaction) {
     std::optional<CommitterItem> item = mItems.Pop(Micros(0));
     if (!item) {
       break;
@@ -135,7 +141,7 @@
     auto* commit = std::get_if<CommitItem>(&*item);
     if (!commit || commit->mShard != group.front().mShard ||
         commit->mEpoch != group.front().mEpoch) {
-      mNext = std::move(item);
+      mDeferredItem = std::move(item);
       break;
     }
     group.push_back(std::move(*commit));
@@ -144,7 +150,7 @@
 }
 
 Outcome<std::optional<std::uint64_t>>
-Committer::FenceOf(const std::string& aShard, std::uint64_t aEpoch)
+Committer::FenceVersion(const std::string& aShard, std::uint64_t aEpoch)
 {
   const auto known = mFences.find(aShard);
   if (known != mFences.end() && known->second.mEpoch == aEpoch) {
@@ -170,22 +176,22 @@
 void
 Committer::Perform(std::vector<CommitItem> aGroup)
 {
-  bool repeated = false;
+  bool isRetry = false;
   while (!aGroup.empty() && !mStopping) {
-    const std::size_t before = aGroup.size();
-    aGroup = CommitGroup(std::move(aGroup), repeated);
-    repeated = true;
-    if (aGroup.size() == before) {
-      std::this_thread::sleep_for(kRetryPause);
+    const std::size_t sizeBefore = aGroup.size();
+    aGroup = CommitGroup(std::move(aGroup), isRetry);
+    isRetry = true;
+    if (aGroup.size() == sizeBefore) {
+      std::this_thread::sleep_for(kRetryDelay);
     }
   }
 }
 
 std::vector<CommitItem>
-Committer::CommitGroup(std::vector<CommitItem> aGroup, bool aRepeated)
+Committer::CommitGroup(std::vector<CommitItem> aGroup, bool aIsRetry)
 {
   const CommitItem& first = aGroup.front();
-  const auto fence = FenceOf(first.mShard, first.mEpoch);
+  const auto fence = FenceVersion(first.mShard, first.mEpoch);
   if (!Succeeded(fence)) {
     mPorts.mMetrics->Count("commit_failures");
     return aGroup;
@@ -202,15 +208,17 @@
   for (const CommitItem& item : aGroup) {
     if (item.mCommit.mMustNotExist) {
       const std::string key = JobIdKey(item.mCommit.mRow.mSpec.mJob);
-      const auto replaceable = mReplaceable.find(key);
+      const auto replaceable = mReplaceableVersions.find(key);
       transaction.mConditions.push_back(
-        { key, replaceable == mReplaceable.end() ? 0 : replaceable->second });
+        { key,
+          replaceable == mReplaceableVersions.end() ? 0
+                                                    : replaceable->second });
     }
     AddWrites(transaction, item);
   }
   const TransactResult result = mPorts.mTable.mTransact(transaction);
   if (const auto* conflict = std::get_if<Conflict>(&result)) {
-    return HandleConflict(std::move(aGroup), *conflict, aRepeated);
+    return HandleConflict(std::move(aGroup), *conflict, aIsRetry);
   }
   if (const auto* error = std::get_if<Error>(&result)) {
     mPorts.mMetrics->Count("commit_failures");
@@ -221,7 +229,7 @@
   mPorts.mMetrics->Count("commits");
   mPorts.mMetrics->Count("commit_rows", aGroup.size());
   for (const CommitItem& item : aGroup) {
-    Answer(item, CommitState::Committed, {});
+    PushCommitResult(item, CommitResult::Committed, {});
   }
   return {};
 }
@@ -229,50 +237,51 @@
 std::vector<CommitItem>
 Committer::HandleConflict(std::vector<CommitItem> aGroup,
                           const Conflict& aConflict,
-                          bool aRepeated)
+                          bool aIsRetry)
 {
   mPorts.mMetrics->Count("commit_conflicts");
   mFences.erase(aGroup.front().mShard);
-  std::vector<CommitItem> left;
+  std::vector<CommitItem> remaining;
   for (CommitItem& item : aGroup) {
     const std::string key = JobIdKey(item.mCommit.mRow.mSpec.mJob);
     const TableRow* row =
       item.mCommit.mMustNotExist ? FindRow(aConflict, key) : nullptr;
     if (!row) {
-      left.push_back(std::move(item));
+      remaining.push_back(std::move(item));
       continue;
     }
     const auto holder = ParseJobIdRow(row->mValue);
     const std::string shard =
       Succeeded(holder) ? ValueOf(holder).mShard : std::string();
-    const bool open =
+    const bool unfinished =
       !Succeeded(holder) || ValueOf(holder).mState == "accepted";
-    if (IsService(item) && !open) {
-      // A service task that was cancelled is wanted again. It counts its
-      // attempts on, because outcomes of earlier ones may still be reported.
+    if (IsService(item) && !unfinished) {
+      // The configuration asks again for a service task that had been
+      // cancelled. The attempt numbers go on from the earlier ones, because
+      // outcomes of earlier attempts may still be reported.
       item.mCommit.mRow.mAttempt =
         Succeeded(holder) ? ValueOf(holder).mAttempt + 1 : 0;
-      mReplaceable[key] = row->mVersion;
-      left.push_back(std::move(item));
-    } else if (aRepeated && shard == item.mShard && open) {
-      // An earlier try of this very commit took effect.
-      Answer(item, CommitState::Committed, {});
+      mReplaceableVersions[key] = row->mVersion;
+      remaining.push_back(std::move(item));
+    } else if (aIsRetry && shard == item.mShard && unfinished) {
+      // An earlier try of this commit took effect, though its answer was lost.
+      PushCommitResult(item, CommitResult::Committed, {});
     } else {
-      Answer(item, CommitState::Refused, shard);
+      PushCommitResult(item, CommitResult::JobExists, shard);
     }
   }
-  return left;
+  return remaining;
 }
 
 void
 Committer::Perform(const MoveItem& aMove)
 {
   const std::string& job = aMove.mRow.mSpec.mJob;
-  MovedEvent moved{ aMove.mShard, aMove.mEpoch, job, MoveResult::Failed };
+  MoveResultEvent moved{ aMove.mShard, aMove.mEpoch, job, MoveResult::Failed };
   while (!mStopping) {
-    const auto fence = FenceOf(aMove.mShard, aMove.mEpoch);
+    const auto fence = FenceVersion(aMove.mShard, aMove.mEpoch);
     if (Succeeded(fence) && !ValueOf(fence)) {
-      return; // The new owner has the job.
+      return; // Another process owns the shard and reads the job's row.
     }
     if (Succeeded(fence)) {
       TableTransaction transaction;
@@ -288,13 +297,14 @@
       if (std::holds_alternative<Committed>(result)) {
         mPorts.mMetrics->Count("jobs_moved");
         moved.mResult = MoveResult::Done;
-        Answer(moved);
+        PushEvent(moved);
         return;
       }
       mFences.erase(aMove.mShard);
     }
-    // An unknown effect must be settled before the job may start here.
-    std::this_thread::sleep_for(kRetryPause);
+    // The transaction is repeated until its effect is known, because a job that
+    // may have moved must not start in this shard.
+    std::this_thread::sleep_for(kRetryDelay);
   }
 }
 
@@ -303,9 +313,9 @@
 {
   const auto rows = mPorts.mTable.mScan(JobPrefix(aLoad.mShard));
   if (!Succeeded(rows)) {
-    return; // The placement thread asks again.
+    return; // The placement thread repeats the read.
   }
-  RowsEvent event{ aLoad.mShard, aLoad.mEpoch, {} };
+  JobRowsEvent event{ aLoad.mShard, aLoad.mEpoch, {} };
   for (const TableRow& row : ValueOf(rows)) {
     const auto parsed = ParseJobRow(row.mValue);
     if (Succeeded(parsed)) {
@@ -316,28 +326,29 @@
                { { "key", row.mKey }, { "why", ErrorOf(parsed).mMessage } });
     }
   }
-  Answer(event);
+  PushEvent(event);
 }
 
 void
-Committer::Answer(const CommitItem& aItem,
-                  CommitState aState,
-                  const std::string& aHolder)
+Committer::PushCommitResult(const CommitItem& aItem,
+                            CommitResult aResult,
+                            const std::string& aHolder)
 {
-  Answer(CommittedEvent{ aItem.mShard,
-                         aItem.mEpoch,
-                         aItem.mCommit.mRow.mSpec.mJob,
-                         aItem.mCommit.mSequence,
-                         aItem.mCommit.mRow.mAttempt,
-                         aState,
-                         aHolder });
+  PushEvent(CommitResultEvent{ aItem.mShard,
+                               aItem.mEpoch,
+                               aItem.mCommit.mRow.mSpec.mJob,
+                               aItem.mCommit.mSequence,
+                               aItem.mCommit.mRow.mAttempt,
+                               aResult,
+                               aHolder });
 }
 
 void
-Committer::Answer(const SchedulerEvent& aEvent)
+Committer::PushEvent(const SchedulerEvent& aEvent)
 {
-  // A result must arrive, so a full ring is waited for. The placement thread
-  // never waits for this one.
+  // A result must not be lost, so this thread waits while the ring is full.
+  // That can't deadlock, because the placement thread never waits for this
+  // thread.
   while (!mStopping) {
     if (mEvents.TryPush(aEvent) != PushResult::Full) {
       return;
--- a/Libraries/LibScheduler/JobRows.cpp
+++ b/Libraries/LibScheduler/JobRows.cpp
@@ -15,7 +15,9 @@
                              : TaskClass::Batch;
 }
 
-/// Parses a row and converts it; a member of the wrong type is an error.
+/// Parses the JSON text of a row and converts it. A member of the wrong type
+/// makes the result an error.
+/// @param aKind what the row is, for the error's message
 template<typename Row, typename Convert>
 Outcome<Row>
 ParseRow(const char* aKind, const std::string& aText, Convert aConvert)
@@ -123,7 +125,7 @@
     row.mSpec.mJob = aRow["job"].asString();
     row.mSpec.mTeam = aRow["team"].asString();
     row.mSpec.mClass = ClassFromName(aRow["class"].asString());
-    row.mSpec.mDeclared = AmountFromJson(aRow["declared"]);
+    row.mSpec.mDeclared = ResourceVectorFromJson(aRow["declared"]);
     row.mSpec.mExpectedTime = Seconds(aRow["expectedSeconds"].asInt64());
     for (const Json::Value& dataCentre : aRow["dataCentres"]) {
       row.mSpec.mDataCentres.push_back(dataCentre.asString());
--- a/Libraries/LibScheduler/OwnedShard.h
+++ b/Libraries/LibScheduler/OwnedShard.h
@@ -14,30 +14,35 @@
 
 namespace paddle {
 
-/// An answer that is due when a commit is done.
-struct Waiter
+/// A reply to a caller that is due when a commit of its job has a result.
+struct PendingReply
 {
-  std::uint64_t mSequence = 0;
-  Reply mReply;
+  std::uint64_t mSequence = 0; ///< Sequence of the commit.
+  ReplyPromise mReply;
 };
 
-/// A worker shard that this process owns, with what connects its decisions to
-/// the other threads. Used by the placement thread only.
+/// A worker shard that this process owns: the state of the placement core and
+/// what connects it to the other threads. It is used by the placement thread
+/// only.
 struct OwnedShard
 {
   std::string mId;
   std::uint64_t mEpoch = 0;
-  bool mLoaded = false; ///< Its rows were read; until then it does nothing.
-  Shard mCore;
+  /// Whether the job rows were read. Before that, the shard accepts no jobs,
+  /// handles no reports and starts nothing.
+  bool mLoaded = false;
+  Shard mCore; ///< The state of the placement core.
   std::vector<std::shared_ptr<WorkerLink>> mLinks; ///< By worker index.
-  std::multimap<std::string, Waiter> mWaiters;     ///< By job.
-  /// What did not fit into the committer's ring, in order.
+  std::multimap<std::string, PendingReply> mPendingReplies; ///< By job.
+  /// Items that the full ring of the committer did not take yet, in order.
   std::deque<CommitterItem> mBacklog;
-  MonotonicTime mNextLoad;
-  MonotonicTime mNextMove;
-  /// Service tasks that another shard holds, until when that is believed.
-  std::map<std::string, MonotonicTime> mElsewhere;
-  bool mChanged = false; ///< Something happened since the last placement.
+  MonotonicTime mNextLoad; ///< When the rows are read next.
+  MonotonicTime mNextMove; ///< When jobs may be moved to other shards next.
+  /// Service tasks that another shard was found to hold, each with the time
+  /// until which this shard does not try to accept it.
+  std::map<std::string, MonotonicTime> mHeldElsewhereUntil;
+  /// Whether the state changed since the last pass over the queued jobs.
+  bool mNeedsPlacement = false;
 };
 
 } // namespace paddle
--- a/Libraries/LibScheduler/PlacementThread.cpp
+++ b/Libraries/LibScheduler/PlacementThread.cpp
@@ -11,25 +11,37 @@
 
 namespace {
 
-constexpr Millis kTick{ 100 };
-constexpr Millis kLoadRetry{ 1000 };
+/// Interval of the periodic work.
+constexpr Millis kTickInterval{ 100 };
 
-/// Jobs that another shard gave are found by reading the rows again.
-constexpr Millis kReload{ 5000 };
+/// Interval at which the read of a new shard's rows is requested until they
+/// arrive.
+constexpr Millis kLoadRetryInterval{ 1000 };
 
-constexpr Millis kServicesInterval{ 1000 };
+/// Interval at which the rows of a shard are read again, to find the jobs that
+/// other shards moved here.
+constexpr Millis kReloadInterval{ 5000 };
 
-/// A job that has waited this long is given to a shard that has room.
-constexpr Millis kMoveAfter{ 3000 };
+/// Interval at which the service tasks are compared with the configuration.
+constexpr Millis kServiceTaskInterval{ 1000 };
 
-/// Jobs given away in one step, so that a shard with room is not flooded
-/// before its next summary.
-constexpr std::size_t kMovesAtOnce = 8;
+/// A job that has waited this long is moved to a shard with enough free
+/// capacity.
+constexpr Millis kMoveAfterWaiting{ 3000 };
+
+/// The most jobs that a shard moves away in one pass, so that they do not
+/// overload another shard before its next summary arrives.
+constexpr std::size_t kMaxMovesPerPass = 8;
+
+/// Interval between two such passes.
 constexpr Millis kMoveInterval{ 1000 };
 
-/// Starts of one step, so that events are never kept waiting for long.
-constexpr std::size_t kStartsAtOnce = 500;
-constexpr std::size_t kEventsAtOnce = 2000;
+/// The most starts in one placement pass of a shard, so that events do not wait
+/// long.
+constexpr std::size_t kMaxStartsPerPass = 500;
+
+/// The most events that are handled in a row before jobs are placed again.
+constexpr std::size_t kMaxEventsPerPass = 2000;
 
 MonotonicTime
 Now()
@@ -37,8 +49,9 @@
   return std::chrono::steady_clock::now();
 }
 
+/// Sends a reply if a caller waits for it.
 void
-Fulfil(const Reply& aReply, Outcome<Json::Value> aAnswer)
+Fulfil(const ReplyPromise& aReply, Outcome<Json::Value> aAnswer)
 {
   if (aReply) {
     aReply->set_value(std::move(aAnswer));
@@ -105,11 +118,12 @@
 void
 PlacementThread::Run()
 {
-  constexpr Millis kWait{ 10 };
+  // The longest wait for an event before the other work is done.
+  constexpr Millis kMaxWait{ 10 };
   MonotonicTime nextTick = Now();
   while (!mStopping) {
-    std::optional<SchedulerEvent> event = mEvents.Pop(kWait);
-    for (std::size_t i = 0; event && i < kEventsAtOnce; ++i) {
+    std::optional<SchedulerEvent> event = mEvents.Pop(kMaxWait);
+    for (std::size_t i = 0; event && i < kMaxEventsPerPass; ++i) {
       std::visit([&](const auto& aEvent) { Handle(aEvent, Now()); }, *event);
       event = mEvents.Pop(Micros(0));
     }
@@ -118,11 +132,11 @@
     }
     const MonotonicTime now = Now();
     if (now >= nextTick) {
-      nextTick = now + kTick;
+      nextTick = now + kTickInterval;
       Tick(now);
     }
     for (const auto& [id, owned] : mOwned) {
-      if (owned->mLoaded && owned->mChanged) {
+      if (owned->mLoaded && owned->mNeedsPlacement) {
         Place(*owned, now);
       }
       FlushBacklog(*owned);
@@ -150,35 +164,36 @@
 void
 PlacementThread::Tick(MonotonicTime aNow)
 {
-  FollowOwnership(aNow);
+  UpdateOwnership(aNow);
   for (const auto& [id, owned] : mOwned) {
     if (!owned->mLoaded || owned->mNextLoad <= aNow) {
       if (owned->mNextLoad <= aNow) {
-        owned->mNextLoad = aNow + (owned->mLoaded ? kReload : kLoadRetry);
+        owned->mNextLoad =
+          aNow + (owned->mLoaded ? kReloadInterval : kLoadRetryInterval);
         Push(*owned, LoadItem{ id, owned->mEpoch });
       }
     }
-    FollowConfiguration(*owned, aNow);
+    ApplyConfiguration(*owned, aNow);
     Actions actions;
     HandleTick(owned->mCore, aNow, actions);
     Execute(*owned, std::move(actions));
-    owned->mChanged = true;
+    owned->mNeedsPlacement = true;
     MoveWaitingJobs(*owned, aNow);
   }
-  if (mNextServices <= aNow) {
-    mNextServices = aNow + kServicesInterval;
-    FollowServices(aNow);
+  if (mNextServiceTaskUpdate <= aNow) {
+    mNextServiceTaskUpdate = aNow + kServiceTaskInterval;
+    UpdateServiceTasks(aNow);
   }
   PublishSummary();
 }
 
 void
-PlacementThread::FollowOwnership(MonotonicTime aNow)
+PlacementThread::UpdateOwnership(MonotonicTime aNow)
 {
-  if (!mHosts) {
+  if (!mWorkerShards) {
     return;
   }
-  for (const auto& [id, shard] : *mHosts) {
+  for (const auto& [id, shard] : *mWorkerShards) {
     const auto ownership = mPorts.mLease.mOwns(id);
     OwnedShard* owned = Find(id);
     if (ownership && (!owned || owned->mEpoch != ownership->mEpoch)) {
@@ -189,8 +204,8 @@
       Acquire(id, *ownership, aNow);
       continue;
     }
-    // A lease that lapsed may be renewed as long as nobody else took the
-    // shard; the state is still true then.
+    // A shard whose lease has expired is kept while no other process is its
+    // owner: the lease may be renewed, and then the state is still valid.
     const auto owner = owned ? mPorts.mLease.mOwnerOf(id) : std::nullopt;
     if (owned && !ownership && owner && owner->mName != mPorts.mSelf.mName) {
       Drop(*owned);
@@ -207,16 +222,17 @@
   auto owned = std::make_unique<OwnedShard>();
   owned->mId = aShard;
   owned->mEpoch = aOwnership.mEpoch;
-  // This process may itself have started tasks under this epoch before.
-  const bool again = mSeenEpochs[aShard] == aOwnership.mEpoch;
-  mSeenEpochs[aShard] = aOwnership.mEpoch;
-  const PriorOwner history =
-    aOwnership.mAcquisition == Acquisition::FirstOwner && !again
+  // This process may itself have started tasks in this epoch, before it dropped
+  // the shard and acquired it again.
+  const bool reacquired = mLatestEpochs[aShard] == aOwnership.mEpoch;
+  mLatestEpochs[aShard] = aOwnership.mEpoch;
+  const PriorOwner priorOwner =
+    aOwnership.mAcquisition == Acquisition::FirstOwner && !reacquired
       ? PriorOwner::None
       : PriorOwner::Possible;
-  owned->mCore = MakeShard({}, mPolicy, history, aNow);
+  owned->mCore = MakeShard({}, mPolicy, priorOwner, aNow);
   owned->mNextLoad = aNow;
-  FollowHosts(*owned);
+  UpdateWorkers(*owned);
   LogEvent(LogLevel::Info,
            "shard_acquired",
            { { "shard", aShard },
@@ -232,24 +248,24 @@
   for (const auto& link : aOwned.mLinks) {
     WorkerLinks::Close(*link);
   }
-  for (const auto& [job, waiter] : aOwned.mWaiters) {
-    Fulfil(waiter.mReply,
+  for (const auto& [job, pending] : aOwned.mPendingReplies) {
+    Fulfil(pending.mReply,
            Error{ ErrorKind::Unknown,
                   "shard " + aOwned.mId +
                     " went to another process before job " + job +
                     " was committed; repeat the call" });
   }
-  aOwned.mWaiters.clear();
+  aOwned.mPendingReplies.clear();
   LogEvent(LogLevel::Info,
            "shard_dropped",
            { { "shard", aOwned.mId }, { "epoch", aOwned.mEpoch } });
 }
 
 void
-PlacementThread::FollowHosts(OwnedShard& aOwned)
+PlacementThread::UpdateWorkers(OwnedShard& aOwned)
 {
-  const auto found = mHosts->find(aOwned.mId);
-  if (found == mHosts->end()) {
+  const auto found = mWorkerShards->find(aOwned.mId);
+  if (found == mWorkerShards->end()) {
     return;
   }
   for (const WorkerHost& host : found->second.mWorkers) {
@@ -262,9 +278,10 @@
 }
 
 void
-PlacementThread::FollowConfiguration(OwnedShard& aOwned, MonotonicTime aNow)
+PlacementThread::ApplyConfiguration(OwnedShard& aOwned, MonotonicTime aNow)
 {
-  // The age is read first: it bounds the age of what is read after it.
+  // The age is read before the configuration, so that the configuration is at
+  // most this old.
   const auto age = mPorts.mConfig.mAge();
   const auto current = mPorts.mConfig.mCurrent();
   if (!age || !current) {
@@ -280,52 +297,53 @@
   for (const auto& [name, service] : current->mServices) {
     SetTeam(aOwned.mCore,
             service.mTeam,
-            ToAmount(service.mQuota),
+            ToResourceVector(service.mQuota),
             service.mEvictionsPerHour,
             aNow);
   }
 }
 
 void
-PlacementThread::FollowServices(MonotonicTime aNow)
+PlacementThread::UpdateServiceTasks(MonotonicTime aNow)
 {
   const auto current = mPorts.mConfig.mCurrent();
-  if (!current || !mHosts) {
+  if (!current || !mWorkerShards) {
     return;
   }
-  const auto tasks = ListServiceTasks(*current, *mHosts);
-  std::map<std::string, const WantedTask*> wanted;
-  for (const WantedTask& task : tasks) {
-    wanted[task.mSpec.mJob] = &task;
+  const auto tasks = ListServiceTasks(*current, *mWorkerShards);
+  std::map<std::string, const DesiredTask*> desired;
+  for (const DesiredTask& task : tasks) {
+    desired[task.mSpec.mJob] = &task;
     OwnedShard* owned = Find(task.mShard);
     if (!owned || !owned->mLoaded || FindJob(owned->mCore, task.mSpec.mJob)) {
       continue;
     }
-    const auto elsewhere = owned->mElsewhere.find(task.mSpec.mJob);
-    if (elsewhere != owned->mElsewhere.end() && elsewhere->second > aNow) {
+    const auto heldElsewhere = owned->mHeldElsewhereUntil.find(task.mSpec.mJob);
+    if (heldElsewhere != owned->mHeldElsewhereUntil.end() &&
+        heldElsewhere->second > aNow) {
       continue;
     }
     Actions actions;
     AcceptJob(owned->mCore, task.mSpec, aNow, actions);
     Execute(*owned, std::move(actions));
   }
-  CancelUnwanted(wanted, aNow);
+  CancelRemovedServiceTasks(desired, aNow);
 }
 
 void
-PlacementThread::CancelUnwanted(
-  const std::map<std::string, const WantedTask*>& aWanted,
+PlacementThread::CancelRemovedServiceTasks(
+  const std::map<std::string, const DesiredTask*>& aDesired,
   MonotonicTime aNow)
 {
   for (const auto& [id, owned] : mOwned) {
-    std::vector<std::string> unwanted;
+    std::vector<std::string> removed;
     for (const auto& [name, job] : owned->mCore.mJobs) {
       if (job->mRow.mSpec.mClass == TaskClass::Service &&
-          !job->mRow.mCancelRequested && aWanted.count(name) == 0) {
-        unwanted.push_back(name);
+          !job->mRow.mCancelRequested && aDesired.count(name) == 0) {
+        removed.push_back(name);
       }
     }
-    for (const std::string& name : unwanted) {
+    for (const std::string& name : removed) {
       Actions actions;
       CancelJob(owned->mCore, name, aNow, actions);
       Execute(*owned, std::move(actions));
@@ -342,33 +360,39 @@
   aOwned.mNextMove = aNow + kMoveInterval;
   std::size_t moved = 0;
   for (const auto& [name, job] : aOwned.mCore.mJobs) {
-    if (moved >= kMovesAtOnce) {
+    if (moved >= kMaxMovesPerPass) {
       return;
     }
     const JobSpec& spec = job->mRow.mSpec;
     if (job->mPhase != JobPhase::Queued || job->mNotBefore > aNow ||
-        aNow - job->mAcceptedAt < kMoveAfter || job->mRow.mCancelRequested) {
+        aNow - job->mAcceptedAt < kMoveAfterWaiting ||
+        job->mRow.mCancelRequested) {
       continue;
     }
-    const auto room =
-      std::find_if(mRooms.begin(), mRooms.end(), [&](const auto& aRoom) {
-        const auto& allowed = spec.mDataCentres;
-        return aRoom.mShard != aOwned.mId && aRoom.mQueued == 0 &&
-               Fits(spec.mDeclared, aRoom.mLargestFree) &&
-               (allowed.empty() ||
-                std::find(allowed.begin(), allowed.end(), aRoom.mDataCentre) !=
-                  allowed.end());
-      });
-    if (room == mRooms.end()) {
+    const auto target =
+      std::find_if(mShardSummaries.begin(),
+                   mShardSummaries.end(),
+                   [&](const auto& aSummary) {
+                     const auto& allowed = spec.mDataCentres;
+                     return aSummary.mShard != aOwned.mId &&
+                            aSummary.mQueued == 0 &&
+                            Fits(spec.mDeclared, aSummary.mLargestFree) &&
+                            (allowed.empty() ||
+                             std::find(allowed.begin(),
+                                       allowed.end(),
+                                       aSummary.mDataCentre) != allowed.end());
+                   });
+    if (target == mShardSummaries.end()) {
       continue;
     }
     const auto row = BeginMove(aOwned.mCore, name);
     if (!row) {
       continue;
     }
-    // What is given away counts until the next summary arrives.
-    room->mLargestFree -= spec.mDeclared;
-    Push(aOwned, MoveItem{ aOwned.mId, aOwned.mEpoch, *row, room->mShard });
+    // The moved job reduces the target's free capacity until the next summary
+    // arrives.
+    target->mLargestFree -= spec.mDeclared;
+    Push(aOwned, MoveItem{ aOwned.mId, aOwned.mEpoch, *row, target->mShard });
     ++moved;
   }
 }
@@ -376,13 +400,13 @@
 void
 PlacementThread::Place(OwnedShard& aOwned, MonotonicTime aNow)
 {
-  aOwned.mChanged = false;
+  aOwned.mNeedsPlacement = false;
   if (aOwned.mCore.mQueued == 0) {
     return;
   }
   Actions actions;
   const std::size_t started =
-    PlaceQueued(aOwned.mCore, aNow, kStartsAtOnce, actions);
+    PlaceQueued(aOwned.mCore, aNow, kMaxStartsPerPass, actions);
   mPorts.mMetrics->Count("starts", started);
   Execute(aOwned, std::move(actions));
 }
@@ -451,13 +475,13 @@
     Fulfil(aEvent.mReply, status);
     return;
   }
-  owned->mWaiters.emplace(aEvent.mSpec.mJob,
-                          Waiter{ job.mLatestCommit, aEvent.mReply });
+  owned->mPendingReplies.emplace(
+    aEvent.mSpec.mJob, PendingReply{ job.mLatestCommit, aEvent.mReply });
   Execute(*owned, std::move(actions));
 }
 
 void
-PlacementThread::Handle(const QuestionEvent& aEvent, MonotonicTime aNow)
+PlacementThread::Handle(const JobRequestEvent& aEvent, MonotonicTime aNow)
 {
   OwnedShard* owned = Find(aEvent.mShard);
   Job* job =
@@ -473,9 +497,9 @@
              "shard " + aEvent.mShard + " does not hold job " + aEvent.mJob });
     return;
   }
-  if (aEvent.mQuestion != JobQuestion::Cancel) {
+  if (aEvent.mRequest != JobRequest::Cancel) {
     Json::Value status = JobStatus(*owned, *job, aNow);
-    if (aEvent.mQuestion == JobQuestion::Explain) {
+    if (aEvent.mRequest == JobRequest::Explain) {
       status["explanation"] = ExplainJob(owned->mCore, *job, aNow);
     }
     Fulfil(aEvent.mReply, status);
@@ -490,17 +514,17 @@
                     " is being accepted or moved; repeat the call" });
     return;
   }
-  owned->mWaiters.emplace(aEvent.mJob,
-                          Waiter{ job->mLatestCommit, aEvent.mReply });
+  owned->mPendingReplies.emplace(
+    aEvent.mJob, PendingReply{ job->mLatestCommit, aEvent.mReply });
   Execute(*owned, std::move(actions));
 }
 
 void
 PlacementThread::Handle(const HostsEvent& aEvent, MonotonicTime)
 {
-  mHosts = aEvent.mShards;
+  mWorkerShards = aEvent.mShards;
   for (const auto& [id, owned] : mOwned) {
-    FollowHosts(*owned);
+    UpdateWorkers(*owned);
   }
 }
 
@@ -509,7 +533,9 @@
 {
   OwnedShard* owned = Find(aEvent.mShard, aEvent.mEpoch);
   if (!owned || !owned->mLoaded) {
-    return; // Without the rows, every task would look like a stray one.
+    // Before the rows are read, each reported task would seem to belong to no
+    // job.
+    return;
   }
   Actions actions;
   HandleReport(
@@ -517,7 +543,7 @@
   WorkerLinks::SetPlan(*owned->mLinks[aEvent.mWorker],
                        PlanPoll(owned->mCore, aEvent.mWorker));
   Execute(*owned, std::move(actions));
-  owned->mChanged = true;
+  owned->mNeedsPlacement = true;
 }
 
 void
@@ -536,36 +562,39 @@
                     aNow,
                     actions);
   Execute(*owned, std::move(actions));
-  owned->mChanged = true;
+  owned->mNeedsPlacement = true;
 }
 
 void
-PlacementThread::Handle(const CommittedEvent& aEvent, MonotonicTime aNow)
+PlacementThread::Handle(const CommitResultEvent& aEvent, MonotonicTime aNow)
 {
   OwnedShard* owned = Find(aEvent.mShard, aEvent.mEpoch);
   if (!owned) {
     return;
   }
-  constexpr Seconds kBelievedElsewhere{ 30 };
+  // How long another shard is assumed to hold a service task after a commit
+  // found it there.
+  constexpr Seconds kHeldElsewhereCacheTime{ 30 };
   Actions actions;
-  if (aEvent.mState == CommitState::Committed) {
+  if (aEvent.mResult == CommitResult::Committed) {
     RaiseAttempt(owned->mCore, aEvent.mJob, aEvent.mAttempt);
     HandleCommitted(owned->mCore, aEvent.mJob, aEvent.mSequence, aNow, actions);
   } else {
     HandleNotAccepted(owned->mCore, aEvent.mJob);
-    owned->mElsewhere[aEvent.mJob] = aNow + kBelievedElsewhere;
+    owned->mHeldElsewhereUntil[aEvent.mJob] = aNow + kHeldElsewhereCacheTime;
   }
-  AnswerWaiters(*owned, aEvent);
+  FulfilPendingReplies(*owned, aEvent);
   Execute(*owned, std::move(actions));
-  owned->mChanged = true;
+  owned->mNeedsPlacement = true;
 }
 
 void
-PlacementThread::AnswerWaiters(OwnedShard& aOwned, const CommittedEvent& aEvent)
+PlacementThread::FulfilPendingReplies(OwnedShard& aOwned,
+                                      const CommitResultEvent& aEvent)
 {
   Json::Value answer(Json::objectValue);
   answer["job"] = aEvent.mJob;
-  const bool repeated = aEvent.mState == CommitState::Refused;
+  const bool repeated = aEvent.mResult == CommitResult::JobExists;
   answer["shard"] = repeated ? aEvent.mHolder : aOwned.mId;
   answer["state"] = "accepted";
   answer["repeated"] = repeated;
@@ -575,19 +604,19 @@
                       : job->mRow.mCancelRequested ? "cancelling"
                                                    : "accepted";
   }
-  const auto [begin, end] = aOwned.mWaiters.equal_range(aEvent.mJob);
-  for (auto waiter = begin; waiter != end;) {
-    if (waiter->second.mSequence > aEvent.mSequence) {
-      ++waiter;
+  const auto [begin, end] = aOwned.mPendingReplies.equal_range(aEvent.mJob);
+  for (auto pending = begin; pending != end;) {
+    if (pending->second.mSequence > aEvent.mSequence) {
+      ++pending;
       continue;
     }
-    Fulfil(waiter->second.mReply, answer);
-    waiter = aOwned.mWaiters.erase(waiter);
+    Fulfil(pending->second.mReply, answer);
+    pending = aOwned.mPendingReplies.erase(pending);
   }
 }
 
 void
-PlacementThread::Handle(const MovedEvent& aEvent, MonotonicTime)
+PlacementThread::Handle(const MoveResultEvent& aEvent, MonotonicTime)
 {
   if (OwnedShard* owned = Find(aEvent.mShard, aEvent.mEpoch)) {
     EndMove(owned->mCore, aEvent.mJob, aEvent.mResult);
@@ -595,7 +624,7 @@
 }
 
 void
-PlacementThread::Handle(const RowsEvent& aEvent, MonotonicTime aNow)
+PlacementThread::Handle(const JobRowsEvent& aEvent, MonotonicTime aNow)
 {
   OwnedShard* owned = Find(aEvent.mShard, aEvent.mEpoch);
   if (!owned) {
@@ -605,8 +634,8 @@
     if (!owned->mLoaded) {
       LoadJob(owned->mCore, row, aNow);
     } else {
-      // Only rows that another shard moved here are unknown: this shard's own
-      // commits arrive in the same order as the rows.
+      // Only a job that another shard moved here is unknown, because the
+      // results of this shard's own commits arrive in order with the rows.
       AdoptJob(owned->mCore, row, aNow);
     }
   }
@@ -616,13 +645,13 @@
              "shard_loaded",
              { { "shard", owned->mId }, { "jobs", aEvent.mRows.size() } });
   }
-  owned->mChanged = true;
+  owned->mNeedsPlacement = true;
 }
 
 void
-PlacementThread::Handle(const PeersEvent& aEvent, MonotonicTime)
+PlacementThread::Handle(const ShardSummariesEvent& aEvent, MonotonicTime)
 {
-  mRooms = aEvent.mRooms;
+  mShardSummaries = aEvent.mSummaries;
 }
 
 void
@@ -631,7 +660,8 @@
   Json::Value summary(Json::objectValue);
   summary["member"] = mPorts.mSelf.mName;
   if (const auto current = mPorts.mConfig.mCurrent()) {
-    // Tells a drain that this process knows the data centre is out.
+    // Whoever takes a data centre out of service sees from the revision that
+    // this process knows of it.
     summary["configRevision"] = Json::UInt64(current->mRevision);
   }
   summary["shards"] = Json::Value(Json::arrayValue);
@@ -645,15 +675,15 @@
     shard["queued"] = Json::UInt64(core.mQueued);
     ResourceVector free;
     ResourceVector largest;
-    std::uint64_t heard = 0;
+    std::uint64_t workersReported = 0;
     std::uint64_t tasks = 0;
     for (const Worker& worker : core.mWorkers) {
-      heard += worker.mLastReportAt ? 1 : 0;
+      workersReported += worker.mLastReportAt ? 1 : 0;
       tasks += worker.mSlots.size();
-      const bool open =
+      const bool takesStarts =
         worker.mPoolKey &&
         AllowsStart(core, core.mDataCentres[worker.mDataCentre], {}, Now());
-      if (open) {
+      if (takesStarts) {
         free += worker.mFree;
         shard["dataCentre"] = worker.mSpec.mDataCentre;
         largest = largest.mMilliCores < worker.mFree.mMilliCores ? worker.mFree
@@ -661,7 +691,7 @@
       }
     }
     shard["workers"] = Json::UInt64(core.mWorkers.size());
-    shard["heard"] = Json::UInt64(heard);
+    shard["heard"] = Json::UInt64(workersReported);
     shard["tasks"] = Json::UInt64(tasks);
     shard["free"] = ToJson(free);
     shard["largestFree"] = ToJson(largest);
--- a/Libraries/LibScheduler/Scheduler.cpp
+++ b/Libraries/LibScheduler/Scheduler.cpp
@@ -10,20 +10,26 @@
 
 namespace {
 
-/// Several seconds of events at the peak of the size to design for.
-constexpr std::size_t kRingSize = 20000;
-
-/// How long an RPC thread waits for a commit; within an ordinary client's
-/// own time-out.
-constexpr Millis kAnswerTimeout{ 4000 };
-
+/// Events that may wait for the placement thread. The ring holds several
+/// seconds of events at the peak load of the largest planned deployment.
+constexpr std::size_t kEventRingCapacity = 20000;
+
+/// How long an RPC thread waits for the reply of the placement thread, which
+/// may be due only after a commit. It is below the time-out of ordinary
+/// clients, so that they receive an answer.
+constexpr Millis kReplyTimeout{ 4000 };
+
+/// Time-out of a call that is forwarded to the owner of a shard. It is above
+/// kReplyTimeout, so that the answer arrives also when the owner's wait for a
+/// reply timed out.
 constexpr Millis kForwardTimeout{ 4500 };
 
-/// Shards tried for one submit.
-constexpr std::size_t kMostCandidates = 3;
+/// The most shards that are tried for one submit.
+constexpr std::size_t kMaxCandidateShards = 3;
 
+/// @return the result of scheduler.status for a job that is done
 Json::Value
-FromIdRow(const std::string& aJob, const JobIdRow& aRow)
+StatusFromIdRow(const std::string& aJob, const JobIdRow& aRow)
 {
   Json::Value status(Json::objectValue);
   status["job"] = aJob;
@@ -47,7 +53,7 @@
                      PlacementPolicy aPolicy,
                      const LinkSettings& aLinks)
   : mPorts(aPorts)
-  , mEvents(kRingSize)
+  , mEvents(kEventRingCapacity)
   , mCommitter(aPorts, mEvents)
   , mLinks(aPorts, aLinks, mEvents)
   , mPlacement(aPorts, std::move(aPolicy), mEvents, mCommitter, mLinks)
@@ -89,13 +95,16 @@
     return Submit(aParameters);
   };
   methods["scheduler.cancel"] = [this](const Json::Value& aParameters) {
-    return Ask(JobQuestion::Cancel, "scheduler.cancel", aParameters);
+    return HandleJobRequest(
+      JobRequest::Cancel, "scheduler.cancel", aParameters);
   };
   methods["scheduler.status"] = [this](const Json::Value& aParameters) {
-    return Ask(JobQuestion::Status, "scheduler.status", aParameters);
+    return HandleJobRequest(
+      JobRequest::Status, "scheduler.status", aParameters);
   };
   methods["scheduler.explain"] = [this](const Json::Value& aParameters) {
-    return Ask(JobQuestion::Explain, "scheduler.explain", aParameters);
+    return HandleJobRequest(
+      JobRequest::Explain, "scheduler.explain", aParameters);
   };
   methods["scheduler.summary"] =
     [this](const Json::Value&) -> Outcome<Json::Value> {
@@ -125,13 +134,13 @@
 }
 
 Outcome<Json::Value>
-Scheduler::Await(SchedulerEvent aEvent, const Reply& aReply)
+Scheduler::Await(SchedulerEvent aEvent, const ReplyPromise& aReply)
 {
   auto answer = aReply->get_future();
   if (mEvents.TryPush(std::move(aEvent)) != PushResult::Accepted) {
     return Error{ ErrorKind::Unavailable, "the scheduler is overloaded" };
   }
-  if (answer.wait_for(kAnswerTimeout) != std::future_status::ready) {
+  if (answer.wait_for(kReplyTimeout) != std::future_status::ready) {
     return Error{ ErrorKind::Unknown,
                   "the table service did not confirm in time; repeat the call "
                   "with the same job id" };
@@ -153,18 +162,19 @@
   if (aParameters.isMember("shard")) {
     return SubmitTo(aParameters["shard"].asString(), spec, aParameters);
   }
-  if (const auto why = mDirectory.WhyNever(spec)) {
+  if (const auto why = mDirectory.WhyJobUnplaceable(spec)) {
     mPorts.mMetrics->Count("jobs_refused");
     return Error{ ErrorKind::InvalidInput, *why };
   }
   Outcome<Json::Value> answer =
     Error{ ErrorKind::Unavailable, "no shard has a live owner now" };
-  const auto candidates = mDirectory.Candidates(spec);
-  for (std::size_t i = 0; i < candidates.size() && i < kMostCandidates; ++i) {
+  const auto candidates = mDirectory.CandidateShards(spec);
+  for (std::size_t i = 0; i < candidates.size() && i < kMaxCandidateShards;
+       ++i) {
     answer = SubmitTo(candidates[i], spec, aParameters);
-    const bool again =
+    const bool tryNext =
       !Succeeded(answer) && ErrorOf(answer).mKind == ErrorKind::Unavailable;
-    if (!again) {
+    if (!tryNext) {
       break;
     }
   }
@@ -181,7 +191,8 @@
     parameters["shard"] = aShard;
     return Forward(aShard, "scheduler.submit", std::move(parameters));
   }
-  const Reply reply = std::make_shared<std::promise<Outcome<Json::Value>>>();
+  const ReplyPromise reply =
+    std::make_shared<std::promise<Outcome<Json::Value>>>();
   Outcome<Json::Value> answer =
     Await(SubmitEvent{ aShard, aSpec, reply }, reply);
   mPorts.mMetrics->Count(Succeeded(answer) ? "jobs_accepted"
@@ -206,9 +217,9 @@
 }
 
 Outcome<Json::Value>
-Scheduler::Ask(JobQuestion aQuestion,
-               const char* aMethod,
-               const Json::Value& aParameters)
+Scheduler::HandleJobRequest(JobRequest aRequest,
+                            const char* aMethod,
+                            const Json::Value& aParameters)
 {
   const std::string job = aParameters["job"].asString();
   const std::string key = JobIdKey(job);
@@ -226,13 +237,14 @@
   }
   const JobIdRow& id = ValueOf(parsed);
   if (id.mState != "accepted") {
-    return FromIdRow(job, id);
+    return StatusFromIdRow(job, id);
   }
   if (!Owns(id.mShard)) {
     return Forward(id.mShard, aMethod, aParameters);
   }
-  const Reply reply = std::make_shared<std::promise<Outcome<Json::Value>>>();
-  return Await(QuestionEvent{ id.mShard, job, aQuestion, reply }, reply);
+  const ReplyPromise reply =
+    std::make_shared<std::promise<Outcome<Json::Value>>>();
+  return Await(JobRequestEvent{ id.mShard, job, aRequest, reply }, reply);
 }
 
 } // namespace paddle
--- a/Libraries/LibScheduler/SchedulerPorts.h
+++ b/Libraries/LibScheduler/SchedulerPorts.h
@@ -15,24 +15,24 @@
 
 namespace paddle {
 
-/// What the scheduler needs of the leases, see LeaseKeeper.
+/// The functions of LeaseKeeper that the scheduler uses; tests replace them.
 struct LeasePort
 {
   std::function<void(std::vector<ShardSpec>)> mSetShards;
   std::function<std::optional<Ownership>(std::string_view aShard)> mOwns;
   std::function<std::optional<Member>(std::string_view aShard)> mOwnerOf;
-  /// The live schedulers, including this one.
+  /// Returns the live schedulers, including this one.
   std::function<std::vector<Member>()> mSchedulers;
 };
 
-/// What the scheduler needs of the configuration, see ConfigFollower.
+/// The functions of ConfigFollower that the scheduler uses; tests replace them.
 struct ConfigPort
 {
   std::function<std::shared_ptr<const Configuration>()> mCurrent;
   std::function<std::optional<Millis>()> mAge;
 };
 
-/// Everything outside that a scheduler uses.
+/// The services and objects outside the scheduler that it uses.
 struct SchedulerPorts
 {
   Member mSelf;
--- a/Libraries/LibScheduler/ServiceTaskList.cpp
+++ b/Libraries/LibScheduler/ServiceTaskList.cpp
@@ -16,6 +16,8 @@
          found->second.mState == DataCentreState::InService;
 }
 
+/// @return the shard with the highest hash for the job among those in service
+///         that have a worker large enough for it; empty if there is none
 std::string
 ShardFor(const JobSpec& aSpec,
          const Configuration& aConfiguration,
@@ -24,12 +26,13 @@
   std::string best;
   std::uint64_t bestHash = 0;
   for (const auto& [id, shard] : aShards) {
-    const bool could = std::any_of(shard.mWorkers.begin(),
-                                   shard.mWorkers.end(),
-                                   [&](const WorkerHost& aWorker) {
-                                     return CouldEverRun(aWorker.mSpec, aSpec);
-                                   });
-    if (!could || !InService(aConfiguration, shard.mSpec.mDataCentre)) {
+    const bool couldRun =
+      std::any_of(shard.mWorkers.begin(),
+                  shard.mWorkers.end(),
+                  [&](const WorkerHost& aWorker) {
+                    return CouldEverRun(aWorker.mSpec, aSpec);
+                  });
+    if (!couldRun || !InService(aConfiguration, shard.mSpec.mDataCentre)) {
       continue;
     }
     const std::uint64_t hash = StableHash(id + "|" + aSpec.mJob);
@@ -43,26 +46,26 @@
 
 } // namespace
 
-std::vector<WantedTask>
+std::vector<DesiredTask>
 ListServiceTasks(const Configuration& aConfiguration,
                  const WorkerShards& aShards)
 {
-  std::vector<WantedTask> wanted;
+  std::vector<DesiredTask> desired;
   for (const auto& [name, service] : aConfiguration.mServices) {
     for (const ServiceTasks& tasks : service.mTasks) {
       for (std::uint32_t i = 0; i < tasks.mCount; ++i) {
-        WantedTask task;
+        DesiredTask task;
         task.mSpec.mJob =
           "service." + name + "." + tasks.mName + "." + std::to_string(i);
         task.mSpec.mTeam = service.mTeam;
         task.mSpec.mClass = TaskClass::Service;
-        task.mSpec.mDeclared = ToAmount(tasks.mSize);
+        task.mSpec.mDeclared = ToResourceVector(tasks.mSize);
         task.mShard = ShardFor(task.mSpec, aConfiguration, aShards);
-        wanted.push_back(std::move(task));
+        desired.push_back(std::move(task));
       }
     }
   }
-  return wanted;
+  return desired;
 }
 
 } // namespace paddle
--- a/Libraries/LibScheduler/ServiceTaskList.h
+++ b/Libraries/LibScheduler/ServiceTaskList.h
@@ -9,17 +9,18 @@
 
 namespace paddle {
 
-/// A service task that should run, and the shard that should hold it.
-struct WantedTask
+/// A service task that the configuration asks for, and the shard that should
+/// hold it.
+struct DesiredTask
 {
   JobSpec mSpec;
-  std::string mShard;
+  std::string mShard; ///< Empty if no shard could hold the task.
 };
 
-/// @return one entry per task of every service document. Its shard is chosen
-///         by rendezvous hashing among those that could hold it, so that all
-///         schedulers agree without a message.
-std::vector<WantedTask>
+/// @return one entry per task of every service document. The shard of a task
+///         is chosen by rendezvous hashing among the shards that could hold
+///         it, so that all schedulers choose the same one without messages.
+std::vector<DesiredTask>
 ListServiceTasks(const Configuration& aConfiguration,
                  const WorkerShards& aShards);
 
--- a/Libraries/LibScheduler/Directory.cpp
+++ b/Libraries/LibScheduler/ShardDirectory.cpp
@@ -1,4 +1,4 @@
-#include <LibScheduler/Directory.h>
+#include <LibScheduler/ShardDirectory.h>
 
 #include <algorithm>
 #include <tuple>
@@ -11,13 +11,15 @@
 
 namespace {
 
-constexpr Millis kInterval{ 500 };
+/// Interval between reads of the host list and the summaries.
+constexpr Millis kReadInterval{ 500 };
 
-/// A peer that does not answer in time is left out of this round.
+/// Time-out of the call for a peer's summary. The shards of a peer that does
+/// not answer in time have no summary until the next read.
 constexpr Millis kPeerTimeout{ 300 };
 
 bool
-CouldHoldOne(const WorkerShard& aShard, const JobSpec& aSpec)
+AnyWorkerCouldRun(const WorkerShard& aShard, const JobSpec& aSpec)
 {
   return std::any_of(aShard.mWorkers.begin(),
                      aShard.mWorkers.end(),
@@ -28,9 +30,9 @@
 
 } // namespace
 
-Directory::Directory(const SchedulerPorts& aPorts,
-                     SchedulerRing& aEvents,
-                     std::function<Json::Value()> aOwnSummary)
+ShardDirectory::ShardDirectory(const SchedulerPorts& aPorts,
+                               SchedulerRing& aEvents,
+                               std::function<Json::Value()> aOwnSummary)
   : mPorts(aPorts)
   , mEvents(aEvents)
   , mOwnSummary(std::move(aOwnSummary))
@@ -38,13 +40,13 @@
 {
 }
 
-Directory::~Directory()
+ShardDirectory::~ShardDirectory()
 {
   Stop();
 }
 
 void
-Directory::Stop()
+ShardDirectory::Stop()
 {
   mStopping = true;
   if (mThread.joinable()) {
@@ -53,31 +55,32 @@
 }
 
 void
-Directory::Run()
+ShardDirectory::Run()
 {
-  constexpr Millis kStep{ 50 };
+  // How often the thread checks whether it must stop.
+  constexpr Millis kStopCheckInterval{ 50 };
   MonotonicTime next;
   while (!mStopping) {
     const MonotonicTime now = std::chrono::steady_clock::now();
     if (now >= next) {
-      next = now + kInterval;
+      next = now + kReadInterval;
       ReadHosts();
       ReadSummaries();
     }
-    std::this_thread::sleep_for(kStep);
+    std::this_thread::sleep_for(kStopCheckInterval);
   }
 }
 
 void
-Directory::ReadHosts()
+ShardDirectory::ReadHosts()
 {
   const auto hosts = mPorts.mHosts.mList();
   if (!Succeeded(hosts)) {
     mPorts.mMetrics->Count("host_list_failures");
-    return; // The last list stays in force.
+    return; // The list of the last successful read stays in use.
   }
   auto shards =
-    std::make_shared<const WorkerShards>(DivideWorkers(ValueOf(hosts)));
+    std::make_shared<const WorkerShards>(AssignWorkersToShards(ValueOf(hosts)));
   std::vector<ShardSpec> specs;
   specs.reserve(shards->size());
   for (const auto& [id, shard] : *shards) {
@@ -92,34 +95,34 @@
 }
 
 void
-Directory::AddRooms(const Json::Value& aSummary,
-                    std::map<std::string, Room>& aRooms,
-                    PeersEvent& aEvent) const
+ShardDirectory::AddShardLoads(const Json::Value& aSummary,
+                              std::map<std::string, ShardLoad>& aLoads,
+                              ShardSummariesEvent& aEvent) const
 {
   for (const Json::Value& shard : aSummary["shards"]) {
     const std::string id = shard["shard"].asString();
-    Room room;
-    room.mLargestFree = AmountFromJson(shard["largestFree"]);
-    room.mQueued = shard["queued"].asUInt64();
-    room.mLoaded = shard["loaded"].asBool();
-    aRooms[id] = room;
-    if (room.mLoaded) {
-      aEvent.mRooms.push_back({ id,
-                                shard["dataCentre"].asString(),
-                                room.mLargestFree,
-                                room.mQueued });
+    ShardLoad load;
+    load.mLargestFree = ResourceVectorFromJson(shard["largestFree"]);
+    load.mQueued = shard["queued"].asUInt64();
+    load.mLoaded = shard["loaded"].asBool();
+    aLoads[id] = load;
+    if (load.mLoaded) {
+      aEvent.mSummaries.push_back({ id,
+                                    shard["dataCentre"].asString(),
+                                    load.mLargestFree,
+                                    load.mQueued });
     }
   }
 }
 
 void
-Directory::ReadSummaries()
+ShardDirectory::ReadSummaries()
 {
-  std::map<std::string, Room> rooms;
-  PeersEvent event;
+  std::map<std::string, ShardLoad> loads;
+  ShardSummariesEvent event;
   for (const Member& peer : mPorts.mLease.mSchedulers()) {
     if (peer.mName == mPorts.mSelf.mName) {
-      AddRooms(mOwnSummary(), rooms, event);
+      AddShardLoads(mOwnSummary(), loads, event);
       continue;
     }
     const auto summary = CallRpc(*mPorts.mClient,
@@ -129,7 +132,7 @@
                                  kPeerTimeout);
     try {
       if (Succeeded(summary)) {
-        AddRooms(ValueOf(summary), rooms, event);
+        AddShardLoads(ValueOf(summary), loads, event);
       }
     } catch (const Json::Exception& e) {
       LogEvent(LogLevel::Error,
@@ -141,14 +144,14 @@
     mPorts.mMetrics->Count("placement_ring_full");
   }
   const std::lock_guard lock(mMutex);
-  mRooms = std::move(rooms);
+  mShardLoads = std::move(loads);
 }
 
 std::vector<std::string>
-Directory::Candidates(const JobSpec& aSpec) const
+ShardDirectory::CandidateShards(const JobSpec& aSpec) const
 {
-  // Shards with a live owner first, then those where the job fits at once,
-  // then those with the shortest queue and the most room.
+  // The order is: shards whose owner is live and has read their rows, shards
+  // where the job fits at once, the shortest queue, the most free cores.
   using Rank = std::tuple<bool, bool, std::uint64_t, std::int64_t>;
   std::vector<std::pair<Rank, std::string>> ranked;
   const std::lock_guard lock(mMutex);
@@ -156,15 +159,16 @@
     return {};
   }
   for (const auto& [id, shard] : *mShards) {
-    if (!CouldHoldOne(shard, aSpec)) {
+    if (!AnyWorkerCouldRun(shard, aSpec)) {
       continue;
     }
-    const auto found = mRooms.find(id);
-    const Room room = found == mRooms.end() ? Room{} : found->second;
-    ranked.emplace_back(Rank{ !room.mLoaded,
-                              !Fits(aSpec.mDeclared, room.mLargestFree),
-                              room.mQueued,
-                              -room.mLargestFree.mMilliCores },
+    const auto found = mShardLoads.find(id);
+    const ShardLoad load =
+      found == mShardLoads.end() ? ShardLoad{} : found->second;
+    ranked.emplace_back(Rank{ !load.mLoaded,
+                              !Fits(aSpec.mDeclared, load.mLargestFree),
+                              load.mQueued,
+                              -load.mLargestFree.mMilliCores },
                         id);
   }
   std::sort(ranked.begin(), ranked.end());
@@ -177,7 +181,7 @@
 }
 
 std::optional<std::string>
-Directory::WhyNever(const JobSpec& aSpec) const
+ShardDirectory::WhyJobUnplaceable(const JobSpec& aSpec) const
 {
   std::shared_ptr<const WorkerShards> shards;
   {
--- a/Libraries/LibScheduler/WorkerJson.cpp
+++ b/Libraries/LibScheduler/WorkerJson.cpp
@@ -16,16 +16,16 @@
 }
 
 Json::Value
-NamesToJson(const TaskNames& aTasks)
+TaskAttemptsToJson(const TaskAttempts& aTasks)
 {
-  Json::Value names(Json::arrayValue);
+  Json::Value attempts(Json::arrayValue);
   for (const auto& [job, attempt] : aTasks) {
-    Json::Value name(Json::objectValue);
-    name["job"] = job;
-    name["attempt"] = attempt;
-    names.append(name);
+    Json::Value entry(Json::objectValue);
+    entry["job"] = job;
+    entry["attempt"] = attempt;
+    attempts.append(entry);
   }
-  return names;
+  return attempts;
 }
 
 TaskReport
@@ -34,8 +34,8 @@
   TaskReport task;
   task.mJob = aTask["job"].asString();
   task.mAttempt = aTask["attempt"].asUInt();
-  task.mReserved = AmountFromJson(aTask["reserved"]);
-  task.mUsed = AmountFromJson(aTask["used"]);
+  task.mReserved = ResourceVectorFromJson(aTask["reserved"]);
+  task.mUsed = ResourceVectorFromJson(aTask["used"]);
   task.mCheckpoint = aTask["checkpoint"].asString();
   task.mSinceCheckpoint = Millis(aTask["sinceCheckpointMs"].asInt64());
   task.mLatencyRatio = aTask["latencyRatio"].asDouble();
@@ -60,21 +60,21 @@
 } // namespace
 
 Json::Value
-ToJson(const ResourceVector& aAmount)
+ToJson(const ResourceVector& aResources)
 {
-  Json::Value amount(Json::objectValue);
-  amount["milliCores"] = Json::Int64(aAmount.mMilliCores);
-  amount["memoryMb"] = Json::Int64(aAmount.mMemoryMb);
-  amount["accelerators"] = Json::Int64(aAmount.mAccelerators);
-  return amount;
+  Json::Value resources(Json::objectValue);
+  resources["milliCores"] = Json::Int64(aResources.mMilliCores);
+  resources["memoryMb"] = Json::Int64(aResources.mMemoryMb);
+  resources["accelerators"] = Json::Int64(aResources.mAccelerators);
+  return resources;
 }
 
 ResourceVector
-AmountFromJson(const Json::Value& aAmount)
+ResourceVectorFromJson(const Json::Value& aResources)
 {
-  return { aAmount["milliCores"].asInt64(),
-           aAmount["memoryMb"].asInt64(),
-           aAmount["accelerators"].asInt64() };
+  return { aResources["milliCores"].asInt64(),
+           aResources["memoryMb"].asInt64(),
+           aResources["accelerators"].asInt64() };
 }
 
 Json::Value
@@ -84,8 +84,8 @@
   parameters["epoch"] = Json::UInt64(aEpoch);
   parameters["leaseMs"] = Json::Int64(aLease.count());
   parameters["token"] = ToJson(aPlan.mToken);
-  parameters["renew"] = NamesToJson(aPlan.mRenew);
-  parameters["acknowledge"] = NamesToJson(aPlan.mAcknowledge);
+  parameters["renew"] = TaskAttemptsToJson(aPlan.mRenew);
+  parameters["acknowledge"] = TaskAttemptsToJson(aPlan.mAcknowledge);
   return parameters;
 }
 
@@ -147,11 +147,11 @@
 }
 
 Json::Value
-TaskParameters(std::uint64_t aEpoch, const TaskNames& aTasks)
+TaskParameters(std::uint64_t aEpoch, const TaskAttempts& aTasks)
 {
   Json::Value parameters(Json::objectValue);
   parameters["epoch"] = Json::UInt64(aEpoch);
-  parameters["tasks"] = NamesToJson(aTasks);
+  parameters["tasks"] = TaskAttemptsToJson(aTasks);
   return parameters;
 }
 
--- a/Libraries/LibScheduler/WorkerJson.h
+++ b/Libraries/LibScheduler/WorkerJson.h
@@ -11,38 +11,45 @@
 
 namespace paddle {
 
-// Parameters and results of worker.report, worker.start, worker.stop,
-// worker.checkpoint and worker.throttle.
+// Conversions of the parameters and results of the RPC methods worker.report,
+// worker.start, worker.stop, worker.checkpoint and worker.throttle.
 
 Json::Value
-ToJson(const ResourceVector& aAmount);
+ToJson(const ResourceVector& aResources);
 
 ResourceVector
-AmountFromJson(const Json::Value& aAmount);
+ResourceVectorFromJson(const Json::Value& aResources);
 
+/// @param aLease the lease term of the tasks that are renewed
 /// @return parameters of worker.report
 Json::Value
 ReportParameters(std::uint64_t aEpoch, Millis aLease, const PollPlan& aPlan);
 
-/// @return the report; throws Json::Exception if a member has another type
+/// Converts the result of worker.report. It throws Json::Exception if a member
+/// has the wrong type.
 WorkerReport
 ReportFromJson(const Json::Value& aReport);
 
+/// @param aLease the lease term of the tasks that are started
 /// @return parameters of worker.start
 Json::Value
 StartParameters(std::uint64_t aEpoch,
                 Millis aLease,
                 const std::vector<StartTask>& aStarts);
 
-/// @return the answers to worker.start, one per start; StartUnknown where an
-///         answer is missing or malformed
+/// Converts the result of worker.start.
+/// @param aCount the number of starts that were sent
+/// @return one answer per start; StartUnknown where an answer is missing or
+///         malformed
 std::vector<StartAnswer>
 StartAnswersFromJson(const Json::Value& aResult, std::size_t aCount);
 
-using TaskNames = std::vector<std::pair<std::string, std::uint32_t>>;
+/// Pairs of a job and the number of one of its attempts.
+using TaskAttempts = std::vector<std::pair<std::string, std::uint32_t>>;
 
-/// @return parameters of worker.stop and worker.checkpoint
+/// @return parameters of worker.stop and worker.checkpoint, and those of
+///         worker.throttle except "throttled"
 Json::Value
-TaskParameters(std::uint64_t aEpoch, const TaskNames& aTasks);
+TaskParameters(std::uint64_t aEpoch, const TaskAttempts& aTasks);
 
 } // namespace paddle
--- a/Libraries/LibScheduler/WorkerLinks.cpp
+++ b/Libraries/LibScheduler/WorkerLinks.cpp
@@ -26,7 +26,7 @@
   , mEvents(aEvents)
 {
   for (unsigned i = 0; i < mSettings.mGroups; ++i) {
-    mGroups.push_back(std::make_unique<Group>());
+    mGroups.push_back(std::make_unique<PollGroup>());
   }
   for (const auto& group : mGroups) {
     group->mThread = std::thread([this, &group = *group] { Run(group); });
@@ -45,7 +45,7 @@
   for (const auto& group : mGroups) {
     {
       const std::lock_guard lock(group->mMutex);
-      group->mWork = true;
+      group->mWakeUp = true;
     }
     group->mChanged.notify_all();
     if (group->mThread.joinable()) {
@@ -54,11 +54,11 @@
   }
 }
 
-WorkerLinks::Group&
+WorkerLinks::PollGroup&
 WorkerLinks::GroupOf(const Endpoint& aAddress)
 {
-  // Neighbouring addresses go to different groups, so that the workers of a
-  // lost rack do not share one.
+  // The hash spreads neighbouring addresses over the groups. If a rack fails,
+  // the time-outs of its workers are then shared by all poll threads.
   return *mGroups[StableHash(ToText(aAddress)) % mGroups.size()];
 }
 
@@ -73,11 +73,11 @@
   link->mEpoch = aEpoch;
   link->mWorker = aWorker;
   link->mAddress = aAddress;
-  Group& group = GroupOf(aAddress);
+  PollGroup& group = GroupOf(aAddress);
   {
     const std::lock_guard lock(group.mMutex);
     group.mLinks.push_back(link);
-    group.mWork = true;
+    group.mWakeUp = true;
   }
   group.mChanged.notify_one();
   return link;
@@ -98,10 +98,10 @@
     const std::lock_guard lock(aLink.mMutex);
     aLink.mCommands.push_back(std::move(aCommand));
   }
-  Group& group = GroupOf(aLink.mAddress);
+  PollGroup& group = GroupOf(aLink.mAddress);
   {
     const std::lock_guard lock(group.mMutex);
-    group.mWork = true;
+    group.mWakeUp = true;
   }
   group.mChanged.notify_one();
 }
@@ -114,15 +114,16 @@
 }
 
 void
-WorkerLinks::Run(Group& aGroup)
+WorkerLinks::Run(PollGroup& aGroup)
 {
-  constexpr Millis kStep{ 20 };
+  // The longest time that the thread sleeps before it looks for due polls.
+  constexpr Millis kMaxSleep{ 20 };
   while (!mStopping) {
     std::vector<std::shared_ptr<WorkerLink>> links;
     {
       std::unique_lock lock(aGroup.mMutex);
-      aGroup.mChanged.wait_for(lock, kStep, [&] { return aGroup.mWork; });
-      aGroup.mWork = false;
+      aGroup.mChanged.wait_for(lock, kMaxSleep, [&] { return aGroup.mWakeUp; });
+      aGroup.mWakeUp = false;
       std::erase_if(aGroup.mLinks, [](const auto& aLink) {
         const std::lock_guard linkLock(aLink->mMutex);
         return aLink->mClosed;
@@ -148,14 +149,14 @@
     }
     commands.swap(aLink.mCommands);
   }
-  ++mUnderWay;
+  ++mLinksInService;
   if (!commands.empty()) {
     SendCommands(aLink, commands);
   }
   if (aLink.mNextPoll <= Now()) {
     Poll(aLink);
   }
-  --mUnderWay;
+  --mLinksInService;
 }
 
 Outcome<Json::Value>
@@ -167,9 +168,10 @@
   if (!ownership || ownership->mEpoch != aLink.mEpoch) {
     return Error{ ErrorKind::Unavailable, "the shard's lease does not hold" };
   }
-  // A second delivery does no harm: starts carry attempt and token, and the
-  // rest is idempotent; but only a start's answer must belong to its own
-  // delivery, so a start uses a new connection.
+  // A request on a reused connection may be delivered twice. That does no harm
+  // to the tasks: starts carry the attempt and a token, and the other requests
+  // are idempotent. But the answer to a start must belong to the only delivery
+  // of that start, so a start uses a new connection.
   const bool start = std::string_view(aMethod) == "worker.start";
   return CallRpc(*mPorts.mClient,
                  aLink.mAddress,
@@ -183,22 +185,23 @@
 WorkerLinks::SendCommands(WorkerLink& aLink, const Actions& aCommands)
 {
   std::vector<StartTask> starts;
-  TaskNames stops;
-  TaskNames checkpoints;
-  TaskNames throttles[2];
+  TaskAttempts stops;
+  TaskAttempts checkpoints;
+  TaskAttempts throttles[2];
   for (const Action& command : aCommands) {
     if (const auto* start = std::get_if<StartTask>(&command)) {
       starts.push_back(*start);
     } else if (const auto* stop = std::get_if<StopTask>(&command)) {
       stops.emplace_back(stop->mJob, stop->mAttempt);
-    } else if (const auto* save = std::get_if<CheckpointTask>(&command)) {
-      checkpoints.emplace_back(save->mJob, save->mAttempt);
-    } else if (const auto* slow = std::get_if<ThrottleTask>(&command)) {
-      throttles[slow->mThrottled ? 1 : 0].emplace_back(slow->mJob,
-                                                       slow->mAttempt);
+    } else if (const auto* checkpoint = std::get_if<CheckpointTask>(&command)) {
+      checkpoints.emplace_back(checkpoint->mJob, checkpoint->mAttempt);
+    } else if (const auto* throttle = std::get_if<ThrottleTask>(&command)) {
+      throttles[throttle->mThrottled ? 1 : 0].emplace_back(throttle->mJob,
+                                                           throttle->mAttempt);
     }
   }
-  // What fails is repeated by the placement thread or settled by reports.
+  // Failures are ignored here: the placement thread repeats the commands, or
+  // the next reports show their effect.
   if (!checkpoints.empty()) {
     Call(aLink, "worker.checkpoint", TaskParameters(aLink.mEpoch, checkpoints));
   }
@@ -234,12 +237,12 @@
     answers.assign(aStarts.size(), StartRejected{ ErrorOf(result).mMessage });
   }
   for (std::size_t i = 0; i < aStarts.size(); ++i) {
-    Answer(StartAnswerEvent{ aLink.mShard,
-                             aLink.mEpoch,
-                             aLink.mWorker,
-                             aStarts[i].mJob,
-                             aStarts[i].mAttempt,
-                             answers[i] });
+    PushEvent(StartAnswerEvent{ aLink.mShard,
+                                aLink.mEpoch,
+                                aLink.mWorker,
+                                aStarts[i].mJob,
+                                aStarts[i].mAttempt,
+                                answers[i] });
   }
 }
 
@@ -256,19 +259,20 @@
          "worker.report",
          ReportParameters(aLink.mEpoch, mSettings.mTaskLease, plan));
   const MonotonicTime received = Now();
-  aLink.mNextPoll = received + (Succeeded(result) ? mSettings.mPollInterval
-                                                  : mSettings.mSilentInterval);
+  aLink.mNextPoll =
+    received + (Succeeded(result) ? mSettings.mPollInterval
+                                  : mSettings.mUnansweredPollInterval);
   if (!Succeeded(result)) {
     mPorts.mMetrics->Count("worker_polls_failed");
     return;
   }
   mPorts.mMetrics->Count("worker_polls");
   try {
-    Answer(ReportEvent{ aLink.mShard,
-                        aLink.mEpoch,
-                        aLink.mWorker,
-                        ReportFromJson(ValueOf(result)),
-                        received });
+    PushEvent(ReportEvent{ aLink.mShard,
+                           aLink.mEpoch,
+                           aLink.mWorker,
+                           ReportFromJson(ValueOf(result)),
+                           received });
   } catch (const Json::Exception& e) {
     LogEvent(LogLevel::Error,
              "worker_report_malformed",
@@ -277,9 +281,10 @@
 }
 
 void
-WorkerLinks::Answer(SchedulerEvent aEvent)
+WorkerLinks::PushEvent(SchedulerEvent aEvent)
 {
-  // An event that finds no room is lost; the next report settles the same.
+  // An event that the full ring refuses is lost. The worker's next report
+  // gives the same information.
   if (mEvents.TryPush(std::move(aEvent)) != PushResult::Accepted) {
     mPorts.mMetrics->Count("placement_ring_full");
   }
--- a/Libraries/LibScheduler/WorkerLinks.h
+++ b/Libraries/LibScheduler/WorkerLinks.h
@@ -15,17 +15,25 @@
 
 namespace paddle {
 
+/// Settings of the requests to workers.
 struct LinkSettings
 {
+  /// Term of a task's lease, which a start or a poll grants or renews.
   Millis mTaskLease{ 10000 };
+  /// Time from the answer to a poll to the next poll of the worker.
   Millis mPollInterval{ 500 };
-  /// Of a worker that did not answer: a silent one must not hold up others.
-  Millis mSilentInterval{ 2000 };
+  /// Time from a failed poll to the next poll of the worker. It is longer than
+  /// mPollInterval, because each poll of a silent worker delays the other
+  /// workers of its group.
+  Millis mUnansweredPollInterval{ 2000 };
+  /// Time-out of each request to a worker.
   Millis mTimeout{ 500 };
+  /// Number of groups of workers; each has its own poll thread.
   unsigned mGroups = 16;
 };
 
-/// What the placement thread wants to be sent to one worker.
+/// The connection between the placement thread and the poll thread for one
+/// worker: the commands and the poll parameters to send to it.
 struct WorkerLink
 {
   std::string mShard;
@@ -33,19 +41,23 @@
   WorkerIndex mWorker = 0;
   Endpoint mAddress;
 
-  std::mutex mMutex; ///< Guards the members below.
-  Actions mCommands;
-  PollPlan mPlan;
-  bool mClosed = false; ///< The shard is not ours any more.
+  std::mutex mMutex;    ///< Guards mCommands, mPlan and mClosed.
+  Actions mCommands;    ///< Commands that have not been sent yet.
+  PollPlan mPlan;       ///< The content of the next poll.
+  bool mClosed = false; ///< This process does not own the shard any more.
 
   MonotonicTime mNextPoll; ///< Used by the link's poll thread only.
 };
 
-/// The poll threads: each polls a group of workers and sends the commands
-/// for them. The lease is checked immediately before each request.
+/// Runs the poll threads. Each polls the workers of one group and sends
+/// commands to them. It checks immediately before each request that this
+/// process still holds the shard's lease.
 class WorkerLinks
 {
 public:
+  /// @param aPorts  must outlive this object
+  /// @param aEvents receives reports and the answers to starts; must outlive
+  ///                this object
   WorkerLinks(const SchedulerPorts& aPorts,
               const LinkSettings& aSettings,
               SchedulerRing& aEvents);
@@ -53,52 +65,65 @@
   WorkerLinks(const WorkerLinks&) = delete;
   WorkerLinks& operator=(const WorkerLinks&) = delete;
 
-  /// Begins to poll a worker.
+  /// Starts polling a worker.
   std::shared_ptr<WorkerLink> Open(const std::string& aShard,
                                    std::uint64_t aEpoch,
                                    WorkerIndex aWorker,
                                    const Endpoint& aAddress);
 
-  /// Ends the polling of a worker; commands not yet sent are dropped.
+  /// Stops polling a worker and discards the commands that were not sent yet.
   static void Close(WorkerLink& aLink);
 
-  /// Queues a command; it is sent at once.
+  /// Queues a command and wakes the poll thread, which sends it.
   void Send(WorkerLink& aLink, Action aCommand);
 
+  /// Sets the content of the following polls.
   static void SetPlan(WorkerLink& aLink, PollPlan aPlan);
 
-  /// @return whether no request is under way
-  [[nodiscard]] bool Quiescent() const { return mUnderWay == 0; }
+  /// @return whether no request to a worker is in flight
+  [[nodiscard]] bool Quiescent() const { return mLinksInService == 0; }
 
+  /// Ends the poll threads; requests in flight are completed first.
   void Stop();
 
 private:
-  struct Group
+  /// The workers of one poll thread.
+  struct PollGroup
   {
-    std::mutex mMutex;
+    std::mutex mMutex; ///< Guards mWakeUp and mLinks.
     std::condition_variable mChanged;
-    bool mWork = false;
+    /// Set when there is a new link or command, or when the thread must end.
+    bool mWakeUp = false;
     std::vector<std::shared_ptr<WorkerLink>> mLinks;
     std::thread mThread;
   };
 
-  Group& GroupOf(const Endpoint& aAddress);
-  void Run(Group& aGroup);
+  PollGroup& GroupOf(const Endpoint& aAddress);
+
+  /// The body of a poll thread.
+  void Run(PollGroup& aGroup);
+
+  /// Sends the queued commands of a worker, then polls it if a poll is due.
   void Serve(WorkerLink& aLink);
   void SendCommands(WorkerLink& aLink, const Actions& aCommands);
   void SendStarts(WorkerLink& aLink, const std::vector<StartTask>& aStarts);
   void Poll(WorkerLink& aLink);
+
+  /// Calls a method of the worker if the shard's lease holds.
   Outcome<Json::Value> Call(const WorkerLink& aLink,
                             const char* aMethod,
                             const Json::Value& aParameters);
-  void Answer(SchedulerEvent aEvent);
+
+  /// Sends an event to the placement thread, unless the ring is full.
+  void PushEvent(SchedulerEvent aEvent);
 
   const SchedulerPorts& mPorts;
   LinkSettings mSettings;
   SchedulerRing& mEvents;
   std::atomic<bool> mStopping{ false };
-  std::atomic<unsigned> mUnderWay{ 0 };
-  std::vector<std::unique_ptr<Group>> mGroups;
+  /// Number of links for which a poll thread may have a request in flight.
+  std::atomic<unsigned> mLinksInService{ 0 };
+  std::vector<std::unique_ptr<PollGroup>> mGroups;
 };
 
 } // namespace paddle
--- a/Libraries/LibScheduler/WorkerShards.cpp
+++ b/Libraries/LibScheduler/WorkerShards.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// With 3 to 4 racks in a data centre today, a shard has one to three; with
-/// the 20 of the size to design for, about ten.
+/// A data centre has 3 to 4 racks today, so that a shard has one to three. In
+/// the largest planned deployment, with 20 racks in a data centre, a shard has
+/// about ten.
 constexpr std::uint64_t kShardsPerDataCentre = 2;
 
 } // namespace
@@ -15,8 +16,9 @@
 std::uint64_t
 StableHash(std::string_view aText)
 {
-  // FNV-1a with a final mix, because its low bits differ little for texts
-  // that differ in the last character only.
+  // This is FNV-1a with a final mix of the bits. The mix is needed because the
+  // low bits of FNV-1a differ little between texts that differ only in their
+  // last character.
   std::uint64_t hash = 14695981039346656037ULL;
   for (const char character : aText) {
     hash ^= static_cast<unsigned char>(character);
@@ -28,7 +30,7 @@
 }
 
 WorkerShards
-DivideWorkers(const std::vector<HostEntry>& aHosts)
+AssignWorkersToShards(const std::vector<HostEntry>& aHosts)
 {
   WorkerShards shards;
   for (const HostEntry& host : aHosts) {
@@ -55,7 +57,7 @@
 }
 
 ResourceVector
-ToAmount(const Resources& aResources)
+ToResourceVector(const Resources& aResources)
 {
   return { static_cast<std::int64_t>(std::ceil(aResources.mCores * 1000)),
            static_cast<std::int64_t>(aResources.mMemoryMb),
@@ -70,7 +72,7 @@
   spec.mTeam = aDocument.mTeam;
   spec.mClass =
     aDocument.mClass == JobClass::Urgent ? TaskClass::Urgent : TaskClass::Batch;
-  spec.mDeclared = ToAmount(aDocument.mSize);
+  spec.mDeclared = ToResourceVector(aDocument.mSize);
   spec.mExpectedTime = aDocument.mExpectedTime;
   spec.mDataCentres = aDocument.mDataCentres;
   return spec;
--- a/Libraries/LibScheduler/WorkerShards.h
+++ b/Libraries/LibScheduler/WorkerShards.h
@@ -13,7 +13,7 @@
 
 namespace paddle {
 
-/// A worker with what is needed to reach it.
+/// A worker and the address at which it answers.
 struct WorkerHost
 {
   WorkerSpec mSpec;
@@ -27,16 +27,21 @@
   std::vector<WorkerHost> mWorkers;
 };
 
+/// The worker shards by id.
 using WorkerShards = std::map<std::string, WorkerShard, std::less<>>;
 
-/// Divides the workers of a host list into shards of a few racks of one data
-/// centre each. A rack stays in its shard whatever else the list holds.
+/// Assigns each worker of a host list to a shard by its data centre and a hash
+/// of its rack. The shard of a rack does not depend on the rest of the list, so
+/// that all schedulers agree on it and it never changes.
 WorkerShards
-DivideWorkers(const std::vector<HostEntry>& aHosts);
+AssignWorkersToShards(const std::vector<HostEntry>& aHosts);
 
+/// Converts the resources of a document; fractions of a core are rounded up to
+/// whole thousandths.
 ResourceVector
-ToAmount(const Resources& aResources);
+ToResourceVector(const Resources& aResources);
 
+/// Converts the document with which a batch job was submitted.
 JobSpec
 ToJobSpec(const JobDocument& aDocument);
 
@@ -44,7 +49,7 @@
 std::vector<WorkerSpec>
 AllWorkers(const WorkerShards& aShards);
 
-/// @return a number that depends on the text only, the same in all processes
+/// @return a hash of the text that is the same in all processes and versions
 std::uint64_t
 StableHash(std::string_view aText);
 
