--- a/Tests/LibScheduler/SchedulerFixture.cpp
+++ b/Tests/LibScheduler/SchedulerFixture.cpp
@@ -15,6 +15,7 @@
 
 constexpr std::uint16_t kWorkerPort = 23500;
 
+/// @return the host list of a TestDeployment
 std::vector<HostEntry>
 MakeHosts(unsigned aWorkers)
 {
@@ -36,7 +37,7 @@
 } // namespace
 
 void
-Ownerships::Give(const Member& aMember, Acquisition aAcquisition)
+FakeLeaseKeepers::GiveAllShards(const Member& aMember, Acquisition aAcquisition)
 {
   const std::lock_guard lock(mMutex);
   mOwner = aMember;
@@ -48,14 +49,14 @@
 }
 
 void
-Ownerships::SetHolds(bool aHolds)
+FakeLeaseKeepers::SetLeaseHolds(bool aLeaseHolds)
 {
   const std::lock_guard lock(mMutex);
-  mHolds = aHolds;
+  mLeaseHolds = aLeaseHolds;
 }
 
 void
-Ownerships::WriteRow(const std::string& aShard)
+FakeLeaseKeepers::WriteRow(const std::string& aShard)
 {
   Json::Value row(Json::objectValue);
   row["epoch"] = Json::UInt64(mEpoch);
@@ -64,7 +65,7 @@
 }
 
 LeasePort
-Ownerships::PortOf(const Member& aMember)
+FakeLeaseKeepers::PortOf(const Member& aMember)
 {
   std::size_t self = 0;
   {
@@ -86,7 +87,7 @@
   port.mOwns = [this,
                 self](std::string_view aShard) -> std::optional<Ownership> {
     const std::lock_guard lock(mMutex);
-    if (!mHolds || mOwner.mName != mMembers[self].mName ||
+    if (!mLeaseHolds || mOwner.mName != mMembers[self].mName ||
         std::find(mShards.begin(), mShards.end(), aShard) == mShards.end()) {
       return std::nullopt;
     }
@@ -105,7 +106,8 @@
 
 TestProcess::~TestProcess()
 {
-  // No request may reach the scheduler while it stops.
+  // The server is stopped first, so that no request reaches a scheduler that is
+  // being destroyed.
   mServer.reset();
   mScheduler.reset();
 }
@@ -153,12 +155,12 @@
   process.mPorts = { process.mSelf,
                      MakeMemoryTablePort(mTable, mFaults, aName),
                      MakeMemoryHostListPort(mHosts),
-                     mOwnerships.PortOf(process.mSelf),
+                     mLeaseKeepers.PortOf(process.mSelf),
                      config,
                      process.mClient.get(),
                      &process.mMetrics };
   if (mProcesses.size() == 1) {
-    mOwnerships.Give(process.mSelf, Acquisition::FirstOwner);
+    mLeaseKeepers.GiveAllShards(process.mSelf, Acquisition::FirstOwner);
   }
   LinkSettings links;
   links.mPollInterval = Millis(200);
@@ -181,9 +183,9 @@
 }
 
 void
-TestDeployment::Give(TestProcess& aProcess, Acquisition aAcquisition)
+TestDeployment::GiveAllShards(TestProcess& aProcess, Acquisition aAcquisition)
 {
-  mOwnerships.Give(aProcess.mSelf, aAcquisition);
+  mLeaseKeepers.GiveAllShards(aProcess.mSelf, aAcquisition);
 }
 
 void
@@ -199,7 +201,7 @@
   Json::Value fault(Json::objectValue);
   fault[aState == DataCentreState::Out ? "dataCentreOut" : "dataCentreIn"] =
     aName;
-  Fault(fault);
+  InjectFault(fault);
 }
 
 void
@@ -241,7 +243,7 @@
 }
 
 void
-TestDeployment::Fault(const Json::Value& aParameters)
+TestDeployment::InjectFault(const Json::Value& aParameters)
 {
   CHECK_TRUE(Succeeded(
     mFleet.ApplyFault(aParameters, std::chrono::steady_clock::now())));
--- a/Tests/LibScheduler/SchedulerFixture.h
+++ b/Tests/LibScheduler/SchedulerFixture.h
@@ -14,38 +14,41 @@
 
 namespace paddle::test {
 
-/// Ownership of shards as the test decides it. Each change writes the shard's
-/// row, as the lease keeper does.
-class Ownerships
+/// Replaces the lease keepers of all schedulers: the test decides which process
+/// owns the shards. Each change writes the shard's row, as LeaseKeeper does.
+class FakeLeaseKeepers
 {
 public:
-  explicit Ownerships(MemoryTable& aTable)
+  explicit FakeLeaseKeepers(MemoryTable& aTable)
     : mTable(aTable)
   {
   }
 
   /// Makes a member the owner of all shards, with a new epoch.
-  void Give(const Member& aMember, Acquisition aAcquisition);
+  void GiveAllShards(const Member& aMember, Acquisition aAcquisition);
 
-  /// Makes the member's lease lapse or hold, without a new owner.
-  void SetHolds(bool aHolds);
+  /// Lets the owner's lease expire or hold again, without a new owner.
+  void SetLeaseHolds(bool aLeaseHolds);
 
+  /// Adds a scheduler.
+  /// @return its lease port
   LeasePort PortOf(const Member& aMember);
 
 private:
   void WriteRow(const std::string& aShard);
 
-  std::mutex mMutex;
+  std::mutex mMutex; ///< Guards the members below.
   MemoryTable& mTable;
   std::vector<std::string> mShards;
-  std::vector<Member> mMembers;
+  std::vector<Member> mMembers; ///< All schedulers.
   Member mOwner;
   std::uint64_t mEpoch = 0;
   Acquisition mAcquisition = Acquisition::FirstOwner;
-  bool mHolds = true;
+  bool mLeaseHolds = true; ///< The lease of mOwner holds.
 };
 
-/// A scheduler process without its lease keeper and configuration follower.
+/// The parts of a scheduler process except its lease keeper and configuration
+/// follower, which the deployment replaces.
 struct TestProcess
 {
   Member mSelf;
@@ -58,47 +61,58 @@
   ~TestProcess();
 };
 
-/// A platform in memory, workers on loopback, and schedulers.
+/// A deployment for tests: the platform's services in memory, stand-ins for the
+/// workers on loopback addresses, and schedulers.
 class TestDeployment
 {
 public:
-  /// @param aWorkers of 4 cores each, in data centres "dc-1" and "dc-2" in
-  ///                 turn
+  /// @param aWorkers number of workers; each has 4 cores, and they are
+  ///                 alternately in data centres "dc-1" and "dc-2"
+  /// @param aPolicy  name of the placement policy
   explicit TestDeployment(unsigned aWorkers, const std::string& aPolicy);
   ~TestDeployment();
 
   /// Starts a scheduler; the first one owns all shards.
   TestProcess& StartProcess(const std::string& aName, unsigned aPort);
 
-  /// Ends a process without a hand-over, as kill -9 does.
+  /// Ends a process without a hand-over, as SIGKILL does.
   void Kill(TestProcess& aProcess);
 
   /// Makes a process the owner of all shards.
-  void Give(TestProcess& aProcess, Acquisition aAcquisition);
+  void GiveAllShards(TestProcess& aProcess, Acquisition aAcquisition);
 
-  /// Takes a data centre out of or into service, as `savorypaddle` does, and
-  /// tells the workers' accounting.
+  /// Takes a data centre out of or into service, as the program `savorypaddle`
+  /// does, and tells the workers, which record starts in a data centre that is
+  /// out as violations.
   void SetDataCentreState(const std::string& aName, DataCentreState aState);
 
+  /// Adds or replaces a service document.
   void SetService(const ServiceDocument& aService);
 
+  /// Submits a job that is complete after @p aSeconds of run time.
   static Outcome<Json::Value> Submit(TestProcess& aProcess,
                                      const std::string& aJob,
                                      int aCores = 1,
                                      int aSeconds = 1);
 
+  /// Calls an RPC method of a scheduler.
   static Outcome<Json::Value> Call(TestProcess& aProcess,
                                    const std::string& aMethod,
                                    const Json::Value& aParameters);
 
-  void Fault(const Json::Value& aParameters);
+  /// Makes workers fail as the parameters of the method standin.fault say.
+  void InjectFault(const Json::Value& aParameters);
+
+  /// @return the result of standin.stats: what the workers did so far
   Json::Value Stats();
 
-  /// Waits until the condition holds; gives up after far longer than it can
-  /// take.
+  /// Waits until the condition holds.
+  /// @return whether it held within about 60 s, which is far longer than any
+  ///         test needs
   static bool Eventually(const std::function<bool()>& aCondition);
 
-  /// Fails the test if the workers saw a guarantee violated.
+  /// Fails the test if the workers recorded a violation of a guarantee, for
+  /// instance a job that was started twice with one attempt.
   void CheckGuarantees();
 
   MemoryTable mTable;
@@ -108,7 +122,7 @@
   std::vector<HostEntry> mHostList;
   MemoryHosts mHosts;
   PlacementPolicy mPolicy;
-  Ownerships mOwnerships{ mTable };
+  FakeLeaseKeepers mLeaseKeepers{ mTable };
   Fleet mFleet;
   std::unique_ptr<HttpServer> mFleetServer;
   std::mutex mConfigMutex;
--- a/Tests/LibScheduler/TestScheduler.cpp
+++ b/Tests/LibScheduler/TestScheduler.cpp
@@ -11,23 +11,29 @@
 
 namespace {
 
+/// @return parameters of scheduler.cancel, scheduler.status and
+///         scheduler.explain
 Json::Value
-Named(const std::string& aJob)
+JobParameters(const std::string& aJob)
 {
   Json::Value parameters(Json::objectValue);
   parameters["job"] = aJob;
   return parameters;
 }
 
+/// @return the job's state by scheduler.status, or the error's message
 std::string
 StateOf(TestProcess& aProcess, const std::string& aJob)
 {
   const auto status =
-    TestDeployment::Call(aProcess, "scheduler.status", Named(aJob));
+    TestDeployment::Call(aProcess, "scheduler.status", JobParameters(aJob));
   return Succeeded(status) ? ValueOf(status)["state"].asString()
                            : ErrorOf(status).mMessage;
 }
 
+/// Repeats the submit until it succeeds, because the scheduler accepts nothing
+/// before it has read the host list and its shards' rows.
+/// @return whether the job was accepted
 bool
 SubmitUntilAccepted(TestProcess& aProcess,
                     const std::string& aJob,
@@ -39,6 +45,7 @@
   });
 }
 
+/// @return whether the job reached the state in time
 bool
 Reaches(TestProcess& aProcess,
         const std::string& aJob,
@@ -52,8 +59,8 @@
 
 TEST_GROUP(Scheduler){};
 
-// Guards against accepted jobs that do not run, run twice, or are reported in
-// another state than the table holds.
+// Guards against accepted jobs that do not run, run twice, or are reported as
+// ended while their rows remain in the table.
 TEST(Scheduler, RunsEachAcceptedJobOnce)
 {
   TestDeployment deployment(4, "learned");
@@ -69,8 +76,8 @@
   deployment.CheckGuarantees();
 }
 
-// Guards against a repeated submit that runs a job a second time, at the same
-// scheduler, at another one, and after the job's end.
+// Guards against a submit that runs a job a second time when it is repeated at
+// another scheduler, or at the same one after the job's end.
 TEST(Scheduler, RecognisesRepeatedSubmit)
 {
   TestDeployment deployment(4, "learned");
@@ -88,7 +95,8 @@
   deployment.CheckGuarantees();
 }
 
-// Guards against a job that is accepted although no worker could hold it.
+// Guards against accepting a job that is too large for every worker, which
+// would wait for ever.
 TEST(Scheduler, RefusesJobThatNoWorkerCouldHold)
 {
   TestDeployment deployment(2, "learned");
@@ -101,7 +109,8 @@
              std::string::npos);
 }
 
-// Guards against an acceptance that is answered although it was not written.
+// Guards against answering a submit as accepted while the table service is down
+// and the job can't be written.
 TEST(Scheduler, AcceptsNothingWhileTheTableIsDown)
 {
   TestDeployment deployment(2, "learned");
@@ -115,8 +124,9 @@
   deployment.CheckGuarantees();
 }
 
-// Guards against commits whose answer was lost and that are taken for another
-// job's, or written twice.
+// Guards against a commit that is reported as another caller's job, or starts a
+// job twice, because the answer of the table service was lost and the commit
+// was repeated.
 TEST(Scheduler, SurvivesLostAnswersOfTheTable)
 {
   TestDeployment deployment(2, "learned");
@@ -130,7 +140,8 @@
   deployment.CheckGuarantees();
 }
 
-// Guards against a cancelled job that runs on or runs again.
+// Guards against a cancelled job that continues to run, or that starts after it
+// was cancelled.
 TEST(Scheduler, CancelsRunningAndWaitingJobs)
 {
   TestDeployment deployment(1, "learned");
@@ -138,10 +149,11 @@
   CHECK_TRUE(SubmitUntilAccepted(process, "running", 4, 600));
   CHECK_TRUE(Reaches(process, "running", "running"));
   CHECK_TRUE(SubmitUntilAccepted(process, "waiting", 4, 600));
-  // The waiting one first, since the room of the other would start it.
+  // The waiting job is cancelled first: otherwise it would start as soon as the
+  // other one has stopped.
   for (const char* job : { "waiting", "running" }) {
-    CHECK_TRUE(
-      Succeeded(TestDeployment::Call(process, "scheduler.cancel", Named(job))));
+    CHECK_TRUE(Succeeded(
+      TestDeployment::Call(process, "scheduler.cancel", JobParameters(job))));
     CHECK_TRUE(Reaches(process, job, "cancelled"));
   }
   const Json::Value stats = deployment.Stats();
@@ -149,8 +161,8 @@
   LONGS_EQUAL(1, stats["starts"].asInt());
 }
 
-// Guards against a takeover that starts running tasks again or forgets
-// waiting ones.
+// Guards against a takeover after which running jobs are started a second time
+// or waiting jobs are lost.
 TEST(Scheduler, TakesOverRunningAndWaitingJobs)
 {
   TestDeployment deployment(2, "learned");
@@ -160,7 +172,7 @@
   }
   CHECK_TRUE(Reaches(first, "job-0", "running"));
   TestProcess& second = deployment.StartProcess("s2", 23009);
-  deployment.Give(second, Acquisition::Takeover);
+  deployment.GiveAllShards(second, Acquisition::Takeover);
   deployment.Kill(first);
   for (int i = 0; i < 8; ++i) {
     CHECK_TRUE(Reaches(second, "job-" + std::to_string(i), "ended"));
@@ -168,8 +180,8 @@
   deployment.CheckGuarantees();
 }
 
-// Guards against a former owner that still commands workers or writes rows
-// after another process has taken over.
+// Guards against a former owner that still sends commands to workers or writes
+// rows after another process has taken the shards over.
 TEST(Scheduler, FormerOwnerStartsAndWritesNothing)
 {
   TestDeployment deployment(2, "learned");
@@ -178,7 +190,7 @@
   for (int i = 0; i < 6; ++i) {
     CHECK_TRUE(SubmitUntilAccepted(first, "job-" + std::to_string(i), 2, 1));
   }
-  deployment.Give(second, Acquisition::Takeover);
+  deployment.GiveAllShards(second, Acquisition::Takeover);
   for (int i = 6; i < 12; ++i) {
     CHECK_TRUE(SubmitUntilAccepted(first, "job-" + std::to_string(i), 2, 1));
   }
@@ -188,8 +200,9 @@
   deployment.CheckGuarantees();
 }
 
-// Guards against starts in a data centre that operators have taken out, and
-// against tasks that stay there.
+// Guards against starts in a data centre that operators have taken out of
+// service, and against tasks that are not moved out of it with their
+// checkpoints.
 TEST(Scheduler, MovesWorkOutOfADataCentre)
 {
   TestDeployment deployment(4, "learned");
@@ -215,8 +228,8 @@
   deployment.CheckGuarantees();
 }
 
-// Guards against workers that fail, lose answers or are silent, and jobs that
-// are lost or run twice because of them.
+// Guards against jobs that are lost or run twice because workers fail all
+// tasks, lose answers or do not answer for some seconds.
 TEST(Scheduler, FinishesJobsDespiteFaultyWorkers)
 {
   TestDeployment deployment(8, "learned");
@@ -224,15 +237,15 @@
   Json::Value fault(Json::objectValue);
   fault["worker"] = "w0";
   fault["failAll"] = true;
-  deployment.Fault(fault);
+  deployment.InjectFault(fault);
   Json::Value lose(Json::objectValue);
   lose["worker"] = "w1";
   lose["loseAnswers"] = 6;
-  deployment.Fault(lose);
+  deployment.InjectFault(lose);
   Json::Value silent(Json::objectValue);
   silent["worker"] = "w2";
   silent["silentMs"] = 4000;
-  deployment.Fault(silent);
+  deployment.InjectFault(silent);
   for (int i = 0; i < 30; ++i) {
     CHECK_TRUE(SubmitUntilAccepted(process, "job-" + std::to_string(i)));
   }
@@ -243,8 +256,9 @@
   deployment.CheckGuarantees();
 }
 
-// Guards against services that do not get their tasks, keep too many, or wait
-// behind batch.
+// Guards against service tasks that wait behind batch jobs, that run on after
+// the service document dropped them, or that do not start when it asks for them
+// again.
 TEST(Scheduler, KeepsTheTasksOfAServiceRunning)
 {
   TestDeployment deployment(2, "learned");
@@ -269,7 +283,8 @@
   deployment.CheckGuarantees();
 }
 
-// Guards against a job that waits in a full shard while another has room.
+// Guards against a job that waits in a full shard although another shard has
+// enough free capacity.
 TEST(Scheduler, MovesAWaitingJobToAShardWithRoom)
 {
   TestDeployment deployment(4, "learned");
@@ -277,7 +292,7 @@
   CHECK_TRUE(SubmitUntilAccepted(process, "job", 4, 600));
   CHECK_TRUE(Reaches(process, "job", "running"));
   const std::string shard = ValueOf(TestDeployment::Call(
-    process, "scheduler.status", Named("job")))["shard"]
+    process, "scheduler.status", JobParameters("job")))["shard"]
                               .asString();
   Json::Value document(Json::objectValue);
   document["shard"] = shard;
@@ -294,8 +309,9 @@
   deployment.CheckGuarantees();
 }
 
-// Guards against rows that lose part of a job between two owners.
-TEST(Scheduler, JobRowKeepsEverything)
+// Guards against a field of a job that the next owner of the shard does not get
+// because the job's row lacks it, and against malformed rows taken for jobs.
+TEST(Scheduler, JobRowRoundTripKeepsEveryField)
 {
   JobRow row;
   row.mSpec.mJob = "job";
