--- a/Services/Scheduler/main.cpp
+++ b/Services/Scheduler/main.cpp
@@ -21,9 +21,15 @@
 
 namespace {
 
-constexpr Millis kConfigPoll{ 1000 };
-constexpr Millis kLeaveLimit{ 5000 };
+/// Interval between reads of the configuration's revision.
+constexpr Millis kConfigPollInterval{ 1000 };
 
+/// The longest time for the hand-over of all shards after a signal to stop, and
+/// then for the completion of the requests in progress.
+constexpr Millis kLeaveTimeout{ 5000 };
+
+/// Prints an error.
+/// @return the exit status of the process
 int
 Fail(const Error& aError)
 {
@@ -44,8 +50,8 @@
   return ParseDaemonSettings(aPath, text.str());
 }
 
-/// Differs each time a process starts, so that a restarted one is not taken
-/// for its predecessor.
+/// @return a random text that differs each time a process starts, so that a
+///         restarted process is not taken for its predecessor
 std::string
 NewIncarnation()
 {
@@ -55,6 +61,7 @@
   return text.str();
 }
 
+/// @return the function by which the lease keeper calls other schedulers
 PromiseCaller
 MakePromiseCaller(HttpClient& aClient)
 {
@@ -65,6 +72,9 @@
   };
 }
 
+/// Runs the scheduler until a signal arrives, then hands its shards over.
+/// @param aSignals the signals that stop the process; blocked in all threads
+/// @return the exit status of the process
 int
 Run(DaemonSettings aSettings, const sigset_t& aSignals)
 {
@@ -80,7 +90,7 @@
   const TablePort table = MakeRpcTablePort(client, aSettings.mPlatform);
   LeaseKeeper keeper(
     aSettings.mLease, aSettings.mSelf, table, MakePromiseCaller(client));
-  const ConfigFollower follower(table, kConfigPoll);
+  const ConfigFollower follower(table, kConfigPollInterval);
   const SchedulerPorts ports{ aSettings.mSelf,
                               table,
                               MakeRpcHostListPort(client, aSettings.mPlatform),
@@ -112,9 +122,10 @@
 
   LogEvent(LogLevel::Info, "leaving", { { "signal", signal } });
   scheduler.BeginLeave();
-  const bool handedOver = keeper.Leave(kLeaveLimit);
-  ValueOf(server)->StopAndDrain(kLeaveLimit);
-  // The keeper outlives the scheduler and may still ask.
+  const bool handedOver = keeper.Leave(kLeaveTimeout);
+  ValueOf(server)->StopAndDrain(kLeaveTimeout);
+  // The keeper outlives the scheduler and may call this function after the
+  // scheduler's end.
   keeper.SetQuiescent([](std::string_view) { return true; });
   scheduler.Stop();
   LogEvent(LogLevel::Info, "stopped", { { "handed_over", handedOver } });
@@ -132,7 +143,8 @@
     ->required();
   CLI11_PARSE(app, aCount, aArguments);
 
-  // Blocked before any thread starts, so that only sigwait() sees them.
+  // The signals are blocked before any thread starts, so that only sigwait()
+  // receives them.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
