--- a/Libraries/LibConfig/ConfigFollower.cpp
+++ b/Libraries/LibConfig/ConfigFollower.cpp
@@ -15,28 +15,30 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// Beyond this age a process reports that it may miss changes (design,
-/// section 8).
+/// Age of the configuration above which this process logs that it may be
+/// missing accepted changes.
 constexpr Millis kStaleAge{ 5000 };
 
-/// The revision at the moment of one read, timed from when it was sent.
+/// The revision that one read returned. Its age counts from when the read was
+/// sent, because the row may have changed at any time after that.
 struct RevisionRead
 {
   std::uint64_t mRevision = 0;
-  MonotonicTime mSent;
+  MonotonicTime mSentAt;
 };
 
-/// A configuration that is known to have held at a point in time.
+/// A configuration and when the read was sent that last confirmed it.
 struct Snapshot
 {
   Configuration mConfiguration;
-  MonotonicTime mSent;
+  MonotonicTime mSentAt;
 };
 
+/// Reads the row "config/revision".
 Outcome<RevisionRead>
 ReadRevision(const TablePort& aTable)
 {
-  const MonotonicTime sent = Clock::now();
+  const MonotonicTime sentAt = Clock::now();
   const std::array<std::string, 1> keys{ kRevisionKey };
   const Outcome<std::vector<TableRow>> rows = aTable.mRead(keys);
   if (!Succeeded(rows)) {
@@ -51,18 +53,21 @@
   if (!Succeeded(revision)) {
     return ErrorOf(revision);
   }
-  return RevisionRead{ ValueOf(revision), sent };
+  return RevisionRead{ ValueOf(revision), sentAt };
 }
 
-/// Reads all rows between two reads of the same revision. Every change raises
-/// the revision, so the rows then belong together.
+/// Reads all rows of the configuration, then the revision again. Every change
+/// raises the revision, so rows that were read between two reads of the same
+/// revision belong together. Otherwise the rows are read again.
+/// @param aRevision the revision that was read before the call
+/// @param aPrevious supplies documents whose rows are damaged; may be null
 Outcome<Snapshot>
 ReadSnapshot(const TablePort& aTable,
              std::uint64_t aRevision,
-             const Configuration* aFormer)
+             const Configuration* aPrevious)
 {
-  constexpr int kTries = 3;
-  for (int i = 0; i < kTries; ++i) {
+  constexpr int kMaxReadAttempts = 3;
+  for (int i = 0; i < kMaxReadAttempts; ++i) {
     const auto documents = aTable.mScan(kDocumentPrefix);
     if (!Succeeded(documents)) {
       return ErrorOf(documents);
@@ -71,20 +76,21 @@
     if (!Succeeded(dataCentres)) {
       return ErrorOf(dataCentres);
     }
-    const Outcome<RevisionRead> after = ReadRevision(aTable);
-    if (!Succeeded(after)) {
-      return ErrorOf(after);
+    const Outcome<RevisionRead> revisionAfter = ReadRevision(aTable);
+    if (!Succeeded(revisionAfter)) {
+      return ErrorOf(revisionAfter);
     }
-    if (ValueOf(after).mRevision != aRevision) {
-      aRevision = ValueOf(after).mRevision;
+    if (ValueOf(revisionAfter).mRevision != aRevision) {
+      aRevision = ValueOf(revisionAfter).mRevision;
       continue;
     }
     std::vector<std::string> problems;
-    Snapshot snapshot{
-      BuildConfiguration(
-        aRevision, ValueOf(documents), ValueOf(dataCentres), aFormer, problems),
-      ValueOf(after).mSent
-    };
+    Snapshot snapshot{ BuildConfiguration(aRevision,
+                                          ValueOf(documents),
+                                          ValueOf(dataCentres),
+                                          aPrevious,
+                                          problems),
+                       ValueOf(revisionAfter).mSentAt };
     for (const std::string& problem : problems) {
       LogEvent(LogLevel::Error,
                "config_row_refused",
@@ -101,21 +107,31 @@
 struct ConfigFollower::State
 {
   TablePort mTable;
-  Millis mPoll;
+  Millis mPollInterval; ///< Wait between a poll and the next.
   mutable std::mutex mMutex;
-  std::condition_variable_any mWake;
+  std::condition_variable_any mWakeUp; ///< Lets a stop end the wait.
+  /// The newest configuration read; null before the first read.
   std::shared_ptr<const Configuration> mCurrent;
-  MonotonicTime mSent; ///< Of the read that last confirmed mCurrent.
-  MonotonicTime mStarted = Clock::now();
-  bool mStaleReported = false;
-  std::jthread mThread; ///< Last, so that it ends before the rest.
+  /// When the read was sent that last confirmed mCurrent.
+  MonotonicTime mSentAt;
+  MonotonicTime mStartedAt = Clock::now();
+  bool mStaleReported = false; ///< Whether the log last said "config_stale".
+  /// The last member, so that it is joined before the others are destroyed.
+  std::jthread mThread;
 
+  /// Polls until a stop is requested; the body of mThread.
   void Run(const std::stop_token& aStop);
+  /// Reads the revision and, if it is new, the whole configuration.
   Outcome<Done> Poll();
+  /// Makes a new configuration the current one.
   void Apply(Snapshot aSnapshot);
-  void Confirm(MonotonicTime aSent);
-  void ReportAge(const Outcome<Done>& aPolled);
-  [[nodiscard]] Millis AgeNow() const;
+  /// Records that a read sent at @p aSentAt returned the current revision.
+  void ConfirmCurrent(MonotonicTime aSentAt);
+  /// Logs when the configuration becomes stale and when it is fresh again.
+  void ReportAge(const Outcome<Done>& aPollResult);
+  /// @return the age of mCurrent or, before the first read, the time since the
+  ///         start; the caller holds mMutex
+  [[nodiscard]] Millis CurrentAge() const;
 };
 
 void
@@ -124,7 +140,7 @@
   while (!aStop.stop_requested()) {
     ReportAge(Poll());
     std::unique_lock lock(mMutex);
-    mWake.wait_for(lock, aStop, mPoll, [] { return false; });
+    mWakeUp.wait_for(lock, aStop, mPollInterval, [] { return false; });
   }
 }
 
@@ -135,10 +151,11 @@
   if (!Succeeded(read)) {
     return ErrorOf(read);
   }
-  // Only this thread changes mCurrent, so it may read it without the lock.
+  // Only this thread changes mCurrent, so it can read mCurrent without the
+  // lock.
   const std::uint64_t revision = ValueOf(read).mRevision;
   if (mCurrent && revision == mCurrent->mRevision) {
-    Confirm(ValueOf(read).mSent);
+    ConfirmCurrent(ValueOf(read).mSentAt);
     return Done{};
   }
   if (mCurrent && revision < mCurrent->mRevision) {
@@ -152,7 +169,8 @@
   }
   if (mCurrent &&
       ValueOf(snapshot).mConfiguration.mRevision <= mCurrent->mRevision) {
-    return Error{ ErrorKind::Unavailable, "read an older revision" };
+    return Error{ ErrorKind::Unavailable,
+                  "the table service returned an older revision" };
   }
   Apply(std::move(ValueOf(snapshot)));
   return Done{};
@@ -171,29 +189,30 @@
     std::make_shared<const Configuration>(std::move(aSnapshot.mConfiguration));
   std::lock_guard lock(mMutex);
   mCurrent = std::move(current);
-  mSent = aSnapshot.mSent;
+  mSentAt = aSnapshot.mSentAt;
 }
 
 void
-ConfigFollower::State::Confirm(MonotonicTime aSent)
+ConfigFollower::State::ConfirmCurrent(MonotonicTime aSentAt)
 {
   std::lock_guard lock(mMutex);
-  mSent = aSent;
+  mSentAt = aSentAt;
 }
 
 Millis
-ConfigFollower::State::AgeNow() const
+ConfigFollower::State::CurrentAge() const
 {
-  const MonotonicTime since = mCurrent ? mSent : mStarted;
-  // Rounded up: an age must never look smaller than it is.
+  const MonotonicTime since = mCurrent ? mSentAt : mStartedAt;
+  // The age is rounded up, because it must never be given as smaller than it
+  // is.
   return std::chrono::ceil<Millis>(Clock::now() - since);
 }
 
 void
-ConfigFollower::State::ReportAge(const Outcome<Done>& aPolled)
+ConfigFollower::State::ReportAge(const Outcome<Done>& aPollResult)
 {
   std::unique_lock lock(mMutex);
-  const Millis age = AgeNow();
+  const Millis age = CurrentAge();
   const bool stale = age > kStaleAge;
   if (stale == mStaleReported) {
     return;
@@ -204,19 +223,19 @@
     LogEvent(LogLevel::Info, "config_fresh", { { "age_ms", age.count() } });
     return;
   }
-  const std::string problem = Succeeded(aPolled)
-                                ? "the poll before took too long"
-                                : ErrorOf(aPolled).mMessage;
+  const std::string problem = Succeeded(aPollResult)
+                                ? "the previous poll took too long"
+                                : ErrorOf(aPollResult).mMessage;
   LogEvent(LogLevel::Warning,
            "config_stale",
            { { "age_ms", age.count() }, { "problem", problem } });
 }
 
-ConfigFollower::ConfigFollower(TablePort aTable, Millis aPoll)
+ConfigFollower::ConfigFollower(TablePort aTable, Millis aPollInterval)
   : mState(std::make_unique<State>())
 {
   mState->mTable = std::move(aTable);
-  mState->mPoll = aPoll;
+  mState->mPollInterval = aPollInterval;
   mState->mThread =
     std::jthread([state = mState.get()](const std::stop_token& aStop) {
       state->Run(aStop);
@@ -239,15 +258,15 @@
   if (!mState->mCurrent) {
     return std::nullopt;
   }
-  return mState->AgeNow();
+  return mState->CurrentAge();
 }
 
 bool
-ConfigFollower::ProvenInService(std::string_view aDataCentre,
-                                Millis aOldest) const
+ConfigFollower::ConfirmedInService(std::string_view aDataCentre,
+                                   Millis aMaxAge) const
 {
   std::lock_guard lock(mState->mMutex);
-  if (!mState->mCurrent || mState->AgeNow() > aOldest) {
+  if (!mState->mCurrent || mState->CurrentAge() > aMaxAge) {
     return false;
   }
   const auto found = mState->mCurrent->mDataCentres.find(aDataCentre);
--- a/Libraries/LibConfig/ConfigFollower.h
+++ b/Libraries/LibConfig/ConfigFollower.h
@@ -14,12 +14,14 @@
 
 namespace paddle {
 
+/// Whether operators have taken a data centre out of service.
 enum class DataCentreState
 {
   InService,
   Out
 };
 
+/// A data centre of the deployment, as configured.
 struct DataCentre
 {
   std::string mName;
@@ -31,17 +33,20 @@
 struct Configuration
 {
   std::uint64_t mRevision = 0;
-  std::map<std::string, ServiceDocument, std::less<>> mServices;
-  std::map<std::string, DataCentre, std::less<>> mDataCentres;
+  std::map<std::string, ServiceDocument, std::less<>> mServices; ///< By name.
+  std::map<std::string, DataCentre, std::less<>> mDataCentres;   ///< By name.
 };
 
-/// Follows the accepted configuration in the table service; runs one thread.
-/// All functions may be called from several threads.
+/// Keeps a copy of the accepted configuration up to date by polling the table
+/// service on a thread of its own. While the table service can't be reached,
+/// the last copy stays available and its age grows. All functions may be called
+/// from several threads.
 class ConfigFollower
 {
 public:
-  /// @param aPoll interval between reads of config/revision
-  ConfigFollower(TablePort aTable, Millis aPoll);
+  /// @param aPollInterval wait between a poll of the row "config/revision" and
+  ///                      the next
+  ConfigFollower(TablePort aTable, Millis aPollInterval);
   ~ConfigFollower();
   ConfigFollower(const ConfigFollower&) = delete;
   ConfigFollower& operator=(const ConfigFollower&) = delete;
@@ -50,14 +55,14 @@
   ///         its revision never decreases
   [[nodiscard]] std::shared_ptr<const Configuration> Current() const;
 
-  /// @return the time since the last successful read was sent, or nothing
-  ///         before the first; the bound on how old Current() may be
+  /// @return an upper bound on the age of Current(): the time since the last
+  ///         read that confirmed it was sent; nothing before the first read
   [[nodiscard]] std::optional<Millis> Age() const;
 
-  /// @return whether the data centre is in service by a read that was sent at
-  ///         most @p aOldest ago
-  [[nodiscard]] bool ProvenInService(std::string_view aDataCentre,
-                                     Millis aOldest) const;
+  /// @return whether a read that was sent at most @p aMaxAge ago confirms that
+  ///         the data centre is in service
+  [[nodiscard]] bool ConfirmedInService(std::string_view aDataCentre,
+                                        Millis aMaxAge) const;
 
 private:
   struct State;
--- a/Libraries/LibConfig/ConfigRows.cpp
+++ b/Libraries/LibConfig/ConfigRows.cpp
@@ -8,28 +8,32 @@
 
 namespace {
 
+/// @return the error for a row whose value can't be used
 Error
-BadRow(const TableRow& aRow, const std::string& aWhy)
+RowError(const TableRow& aRow, const std::string& aReason)
 {
   return Error{ ErrorKind::Internal,
-                "row " + aRow.mKey + " can't be used: " + aWhy };
+                "row " + aRow.mKey + " can't be used: " + aReason };
 }
 
+/// @return the value of a row, which must be a JSON object
 Outcome<Json::Value>
 ParseObjectRow(const TableRow& aRow)
 {
   const Outcome<JsonText> parsed = ParseJsonText(aRow.mKey, aRow.mValue);
   if (!Succeeded(parsed)) {
-    return BadRow(aRow, ErrorOf(parsed).mMessage);
+    return RowError(aRow, ErrorOf(parsed).mMessage);
   }
   if (!ValueOf(parsed).mRoot.isObject()) {
-    return BadRow(aRow, "it is not an object");
+    return RowError(aRow, "its value is not a JSON object");
   }
   return ValueOf(parsed).mRoot;
 }
 
+/// @return the part of the row's key after the prefix: the name of the service
+///         or data centre
 std::string
-NameOf(const TableRow& aRow)
+NameInKey(const TableRow& aRow)
 {
   return aRow.mKey.substr(aRow.mKey.find('/') + 1);
 }
@@ -46,7 +50,7 @@
   const char* end = aRow.mValue.data() + aRow.mValue.size();
   const auto [stop, code] = std::from_chars(aRow.mValue.data(), end, revision);
   if (code != std::errc() || stop != end) {
-    return BadRow(aRow, "\"" + aRow.mValue + "\" is not a number");
+    return RowError(aRow, "\"" + aRow.mValue + "\" is not a number");
   }
   return revision;
 }
@@ -60,7 +64,7 @@
   }
   const Json::Value& text = ValueOf(row)["text"];
   if (!text.isString() || !ValueOf(row)["version"].isUInt64()) {
-    return BadRow(aRow, "it lacks a version or a text");
+    return RowError(aRow, "\"version\" or \"text\" is missing or malformed");
   }
   return text.asString();
 }
@@ -75,10 +79,10 @@
   Outcome<ServiceDocument> document =
     ParseServiceDocument(aRow.mKey, ValueOf(text));
   if (!Succeeded(document)) {
-    return BadRow(aRow, ErrorOf(document).mMessage);
+    return RowError(aRow, ErrorOf(document).mMessage);
   }
-  if (ValueOf(document).mService != NameOf(aRow)) {
-    return BadRow(
+  if (ValueOf(document).mService != NameInKey(aRow)) {
+    return RowError(
       aRow, "it holds the document of service " + ValueOf(document).mService);
   }
   ValueOf(document).mVersion =
@@ -97,9 +101,10 @@
   const Json::Value& state = ValueOf(row)["state"];
   if (!region.isString() || !state.isString() ||
       (state.asString() != "in" && state.asString() != "out")) {
-    return BadRow(aRow, "it lacks a region, or its state is not in or out");
+    return RowError(
+      aRow, "\"region\" is missing, or \"state\" is not \"in\" or \"out\"");
   }
-  return DataCentre{ NameOf(aRow),
+  return DataCentre{ NameInKey(aRow),
                      region.asString(),
                      state.asString() == "in" ? DataCentreState::InService
                                               : DataCentreState::Out };
@@ -109,34 +114,34 @@
 BuildConfiguration(std::uint64_t aRevision,
                    const std::vector<TableRow>& aDocuments,
                    const std::vector<TableRow>& aDataCentres,
-                   const Configuration* aFormer,
+                   const Configuration* aPrevious,
                    std::vector<std::string>& aProblems)
 {
   Configuration built;
   built.mRevision = aRevision;
   for (const TableRow& row : aDocuments) {
-    const std::string name = NameOf(row);
+    const std::string name = NameInKey(row);
     Outcome<ServiceDocument> document = ParseDocumentRow(row);
     if (Succeeded(document)) {
       built.mServices[name] = std::move(ValueOf(document));
       continue;
     }
     aProblems.push_back(ErrorOf(document).mMessage);
-    if (aFormer && aFormer->mServices.contains(name)) {
-      built.mServices[name] = aFormer->mServices.at(name);
+    if (aPrevious && aPrevious->mServices.contains(name)) {
+      built.mServices[name] = aPrevious->mServices.at(name);
     }
   }
   for (const TableRow& row : aDataCentres) {
-    const std::string name = NameOf(row);
-    const Outcome<DataCentre> place = ParseDataCentreRow(row);
-    if (Succeeded(place)) {
-      built.mDataCentres[name] = ValueOf(place);
+    const std::string name = NameInKey(row);
+    const Outcome<DataCentre> dataCentre = ParseDataCentreRow(row);
+    if (Succeeded(dataCentre)) {
+      built.mDataCentres[name] = ValueOf(dataCentre);
       continue;
     }
-    aProblems.push_back(ErrorOf(place).mMessage);
+    aProblems.push_back(ErrorOf(dataCentre).mMessage);
     DataCentre out;
-    if (aFormer && aFormer->mDataCentres.contains(name)) {
-      out = aFormer->mDataCentres.at(name);
+    if (aPrevious && aPrevious->mDataCentres.contains(name)) {
+      out = aPrevious->mDataCentres.at(name);
     }
     out.mName = name;
     out.mState = DataCentreState::Out;
--- a/Libraries/LibConfig/ConfigRows.h
+++ b/Libraries/LibConfig/ConfigRows.h
@@ -9,7 +9,8 @@
 
 namespace paddle {
 
-/// Keys and prefixes of the configuration's rows.
+/// Keys, and prefixes of keys, of the rows that hold the configuration. The row
+/// "config/revision" holds a number that rises with every accepted change.
 inline constexpr const char* kRevisionKey = "config/revision";
 inline constexpr const char* kDocumentPrefix = "doc/";
 inline constexpr const char* kDataCentrePrefix = "dc/";
@@ -20,11 +21,12 @@
 Outcome<std::uint64_t>
 ParseRevision(const TableRow& aRow);
 
-/// @return the service document with its version in a row "doc/<service>"
+/// @return the service document in a row "doc/<service>", with the version that
+///         the row gives
 Outcome<ServiceDocument>
 ParseDocumentRow(const TableRow& aRow);
 
-/// @return the text as written in a row "doc/<service>"
+/// @return the document in a row "doc/<service>" as the author wrote it
 Outcome<std::string>
 DocumentText(const TableRow& aRow);
 
@@ -32,15 +34,17 @@
 Outcome<DataCentre>
 ParseDataCentreRow(const TableRow& aRow);
 
-/// Builds a configuration from its rows. A document row that can't be parsed
-/// keeps the document in @p aFormer; a data centre whose row can't be parsed
-/// counts as out of service, because a start there could not be taken back.
+/// Builds a configuration from its rows. If the row of a service document can't
+/// be parsed, the document in @p aPrevious stays in force. A data centre whose
+/// row can't be parsed counts as out of service, because a task that was
+/// wrongly started there could not be taken back.
+/// @param aPrevious the configuration in force so far, or null
 /// @param aProblems receives a line per row that can't be parsed
 Configuration
 BuildConfiguration(std::uint64_t aRevision,
                    const std::vector<TableRow>& aDocuments,
                    const std::vector<TableRow>& aDataCentres,
-                   const Configuration* aFormer,
+                   const Configuration* aPrevious,
                    std::vector<std::string>& aProblems);
 
 } // namespace paddle
--- a/Libraries/LibControl/ExplainCommand.cpp
+++ b/Libraries/LibControl/ExplainCommand.cpp
@@ -94,14 +94,14 @@
   const std::vector<DecisionRecord>& records = ValueOf(read).mRecords;
   for (const DecisionRecord& record : records) {
     result.mText += TimeText(record.mTime) + " " + record.mMember + ": " +
-                    SentenceOf(record) + "\n";
+                    ExplainDecision(record) + "\n";
     result.mJson["records"].append(ToJson(record));
   }
   const DecisionRecord* subject = LastOf(records, aSubject);
   const DecisionRecord* other = LastOf(records, aOther);
   if (subject && other) {
-    result.mText += Comparison(*subject, *other) + "\n";
-    result.mJson["comparison"] = Comparison(*subject, *other);
+    result.mText += CompareDecisions(*subject, *other) + "\n";
+    result.mJson["comparison"] = CompareDecisions(*subject, *other);
   }
   const bool mayBeJob = !subject || subject->mSubjectKind == SubjectKind::Job;
   const std::string now =
--- a/Libraries/LibControl/FairnessCommand.cpp
+++ b/Libraries/LibControl/FairnessCommand.cpp
@@ -23,8 +23,8 @@
 std::string
 PartyOf(const DecisionRecord& aRecord)
 {
-  if (!aRecord.mCustomer.empty()) {
-    return aRecord.mCustomer;
+  if (!aRecord.mClientAccount.empty()) {
+    return aRecord.mClientAccount;
   }
   return aRecord.mTeam.empty() ? "(no customer named)"
                                : "team " + aRecord.mTeam;
--- a/Libraries/LibControl/JobCommands.cpp
+++ b/Libraries/LibControl/JobCommands.cpp
@@ -61,7 +61,7 @@
   if (!Succeeded(answer)) {
     return Failed(ErrorOf(answer));
   }
-  return Answered("accepted: job " + ValueOf(job).mJob, ValueOf(answer));
+  return Answered("accepted: job " + ValueOf(job).mJobId, ValueOf(answer));
 }
 
 ControlResult
--- a/Libraries/LibControl/PlanPlaces.cpp
+++ b/Libraries/LibControl/PlanPlaces.cpp
@@ -28,7 +28,7 @@
 }
 
 void
-PlanNew(const Place& aPlace,
+PlanNew(const DataCentreLocation& aPlace,
         const std::string& aKey,
         const Author& aAuthor,
         ChangePlan& aPlan)
@@ -41,7 +41,7 @@
 }
 
 Outcome<Done>
-PlanKept(const Place& aPlace,
+PlanKept(const DataCentreLocation& aPlace,
          const TableRow& aRow,
          const Author& aAuthor,
          ChangePlan& aPlan)
@@ -103,7 +103,7 @@
   Rows& present = ValueOf(read);
   ChangePlan plan;
   plan.mWhat = "places";
-  for (const Place& place : ValueOf(parsed).mPlaces) {
+  for (const DataCentreLocation& place : ValueOf(parsed).mDataCentres) {
     const std::string key = kDataCentrePrefix + place.mDataCentre;
     const auto found = present.find(key);
     if (found == present.end()) {
--- a/Libraries/LibDocument/DaemonSettings.cpp
+++ b/Libraries/LibDocument/DaemonSettings.cpp
@@ -7,8 +7,10 @@
 
 namespace {
 
+/// The collected problems of a document, one line each.
 using Errors = std::vector<std::string>;
 
+/// @return the level named by the field "logLevel"; info if it is absent
 LogLevel
 ReadLogLevel(ObjectReader& aReader)
 {
@@ -26,6 +28,8 @@
   return level == "error" ? LogLevel::Error : LogLevel::Info;
 }
 
+/// Reads the required object "platform": the addresses of the table service,
+/// the object store and the host list, and the time-out of each call.
 PlatformSettings
 ReadPlatform(const JsonText& aText, ObjectReader& aParent, Errors& aErrors)
 {
@@ -44,6 +48,7 @@
   return platform;
 }
 
+/// Reads the optional object "lease" and checks its fields against each other.
 LeaseSettings
 ReadLease(const JsonText& aText, ObjectReader& aParent, Errors& aErrors)
 {
@@ -60,7 +65,8 @@
   lease.mForeignTakeoverWait = Millis(reader.Integer(
     "foreignTakeoverWaitMs", 200, 3600000, Presence::Optional, 660000));
   reader.Finish();
-  // One renewal may be lost without the session lapsing.
+  // Two renewals fit into a lease term, so that the session survives the loss
+  // of one renewal.
   if (lease.mRenewInterval * 2 > lease.mTerm) {
     reader.Fail("renewIntervalMs",
                 "must be at most half of termMs (" +
--- a/Libraries/LibDocument/DecisionRecord.cpp
+++ b/Libraries/LibDocument/DecisionRecord.cpp
@@ -11,13 +11,17 @@
 
 namespace {
 
-constexpr std::array<const char*, 5> kDecisions{ "served",
-                                                 "delayed",
-                                                 "evicted",
-                                                 "refused",
-                                                 "unknown" };
-constexpr std::array<const char*, 2> kSubjectKinds{ "request", "job" };
-
+/// Stored names of the values of Decision, in the order of the enum.
+constexpr std::array<const char*, 5> kDecisionNames{ "served",
+                                                     "delayed",
+                                                     "evicted",
+                                                     "refused",
+                                                     "unknown" };
+/// Stored names of the values of SubjectKind, in the order of the enum.
+constexpr std::array<const char*, 2> kSubjectKindNames{ "request", "job" };
+
+/// @return the index of the string @p aValue in @p aNames, or nothing if it is
+///         not one of them
 template<std::size_t N>
 std::optional<std::size_t>
 IndexOf(const std::array<const char*, N>& aNames, const Json::Value& aValue)
@@ -30,22 +34,27 @@
   return std::nullopt;
 }
 
+/// @return the error for a JSON member that is missing or has a wrong value
 Error
-BadMember(const char* aMember)
+MemberError(const char* aMember)
 {
   return Error{ ErrorKind::Internal,
                 std::string("member \"") + aMember +
                   "\" of a decision record is missing or wrong" };
 }
 
+/// Sets a string member; an empty text is left out.
 void
-SetText(Json::Value& aObject, const char* aMember, const std::string& aText)
+SetUnlessEmpty(Json::Value& aObject,
+               const char* aMember,
+               const std::string& aText)
 {
   if (!aText.empty()) {
     aObject[aMember] = aText;
   }
 }
 
+/// @return the member as a string, empty if it is absent or not a string
 std::string
 TextOf(const Json::Value& aObject, const char* aMember)
 {
@@ -63,14 +72,16 @@
   value["timeUs"] = static_cast<Json::Int64>(
     duration_cast<Micros>(aRecord.mTime.time_since_epoch()).count());
   value["member"] = aRecord.mMember;
-  value["decision"] = kDecisions[static_cast<std::size_t>(aRecord.mDecision)];
-  value["kind"] = kSubjectKinds[static_cast<std::size_t>(aRecord.mSubjectKind)];
+  value["decision"] =
+    kDecisionNames[static_cast<std::size_t>(aRecord.mDecision)];
+  value["kind"] =
+    kSubjectKindNames[static_cast<std::size_t>(aRecord.mSubjectKind)];
   value["subject"] = aRecord.mSubject;
   value["rule"] = aRecord.mRule;
-  SetText(value, "service", aRecord.mService);
-  SetText(value, "customer", aRecord.mCustomer);
-  SetText(value, "team", aRecord.mTeam);
-  SetText(value, "whatWouldHaveChangedIt", aRecord.mWhatWouldHaveChangedIt);
+  SetUnlessEmpty(value, "service", aRecord.mService);
+  SetUnlessEmpty(value, "customer", aRecord.mClientAccount);
+  SetUnlessEmpty(value, "team", aRecord.mTeam);
+  SetUnlessEmpty(value, "whatWouldHaveChangedIt", aRecord.mCounterfactual);
   for (const auto& [name, number] : aRecord.mFigures) {
     value["figures"][name] = number;
   }
@@ -81,15 +92,15 @@
 DecisionRecordFromJson(const Json::Value& aValue)
 {
   if (!aValue.isObject() || !aValue["timeUs"].isInt64()) {
-    return BadMember("timeUs");
+    return MemberError("timeUs");
   }
-  const auto decision = IndexOf(kDecisions, aValue["decision"]);
+  const auto decision = IndexOf(kDecisionNames, aValue["decision"]);
   if (!decision) {
-    return BadMember("decision");
+    return MemberError("decision");
   }
-  const auto kind = IndexOf(kSubjectKinds, aValue["kind"]);
+  const auto kind = IndexOf(kSubjectKindNames, aValue["kind"]);
   if (!kind) {
-    return BadMember("kind");
+    return MemberError("kind");
   }
   DecisionRecord record;
   record.mTime =
@@ -100,16 +111,16 @@
   record.mSubject = TextOf(aValue, "subject");
   record.mRule = TextOf(aValue, "rule");
   record.mService = TextOf(aValue, "service");
-  record.mCustomer = TextOf(aValue, "customer");
+  record.mClientAccount = TextOf(aValue, "customer");
   record.mTeam = TextOf(aValue, "team");
-  record.mWhatWouldHaveChangedIt = TextOf(aValue, "whatWouldHaveChangedIt");
+  record.mCounterfactual = TextOf(aValue, "whatWouldHaveChangedIt");
   const Json::Value& figures = aValue["figures"];
   if (!figures.isNull() && !figures.isObject()) {
-    return BadMember("figures");
+    return MemberError("figures");
   }
   for (const std::string& name : figures.getMemberNames()) {
     if (!figures[name].isNumeric()) {
-      return BadMember("figures");
+      return MemberError("figures");
     }
     record.mFigures[name] = figures[name].asDouble();
   }
--- a/Libraries/LibDocument/DecisionSentence.cpp
+++ b/Libraries/LibDocument/DecisionSentence.cpp
@@ -10,32 +10,35 @@
 
 namespace {
 
+/// @return an integer without decimals, any other number with one decimal
 std::string
-Rounded(double aValue)
+FormatNumber(double aValue)
 {
   std::array<char, 40> text{};
-  const bool whole = aValue == std::floor(aValue);
-  std::snprintf(text.data(), text.size(), whole ? "%.0f" : "%.1f", aValue);
+  const bool integral = aValue == std::floor(aValue);
+  std::snprintf(text.data(), text.size(), integral ? "%.0f" : "%.1f", aValue);
   return text.data();
 }
 
-/// @return the duration in the unit a reader would use
+/// @return the duration in milliseconds, seconds or minutes, whichever suits
+///         its length
 std::string
-Duration(double aMillis)
+FormatDuration(double aMillis)
 {
-  constexpr double kSecond = 1000;
-  constexpr double kMinute = 60 * kSecond;
-  if (aMillis < kSecond) {
-    return Rounded(std::round(aMillis)) + " ms";
+  constexpr double kSecondMs = 1000;
+  constexpr double kMinuteMs = 60 * kSecondMs;
+  if (aMillis < kSecondMs) {
+    return FormatNumber(std::round(aMillis)) + " ms";
   }
-  if (aMillis < kMinute) {
-    return Rounded(std::round(aMillis / 100) / 10) + " s";
+  if (aMillis < kMinuteMs) {
+    return FormatNumber(std::round(aMillis / 100) / 10) + " s";
   }
-  return Rounded(std::round(aMillis / kMinute * 10) / 10) + " min";
+  return FormatNumber(std::round(aMillis / kMinuteMs * 10) / 10) + " min";
 }
 
+/// @return the figure of this name, or nothing if the record lacks it
 std::optional<double>
-Figure(const DecisionRecord& aRecord, const char* aName)
+FindFigure(const DecisionRecord& aRecord, const char* aName)
 {
   const auto found = aRecord.mFigures.find(aName);
   if (found == aRecord.mFigures.end()) {
@@ -44,26 +47,32 @@
   return found->second;
 }
 
-/// @return @p aBefore, the figure and @p aAfter, or nothing without the figure
+/// @param aName   name of the figure, see namespace figure
+/// @param aFormat turns the figure into text
+/// @return @p aBefore, the figure and @p aAfter joined, or an empty string if
+///         the record lacks the figure
 std::string
-WithFigure(const DecisionRecord& aRecord,
-           const char* aName,
-           const std::string& aBefore,
-           const std::string& aAfter,
-           const std::function<std::string(double)>& aShow = Rounded)
+PhraseWithFigure(
+  const DecisionRecord& aRecord,
+  const char* aName,
+  const std::string& aBefore,
+  const std::string& aAfter,
+  const std::function<std::string(double)>& aFormat = FormatNumber)
 {
-  const auto value = Figure(aRecord, aName);
-  return value ? aBefore + aShow(*value) + aAfter : std::string();
+  const auto value = FindFigure(aRecord, aName);
+  return value ? aBefore + aFormat(*value) + aAfter : std::string();
 }
 
+/// @return the subject of a sentence: which request or job, of whom, and for
+///         which service
 std::string
-Subject(const DecisionRecord& aRecord)
+SubjectPhrase(const DecisionRecord& aRecord)
 {
   const bool request = aRecord.mSubjectKind == SubjectKind::Request;
   std::string text = request ? "Request " : "Job ";
   text += aRecord.mSubject;
-  if (!aRecord.mCustomer.empty()) {
-    text += " of " + aRecord.mCustomer;
+  if (!aRecord.mClientAccount.empty()) {
+    text += " of " + aRecord.mClientAccount;
   } else if (!aRecord.mTeam.empty()) {
     text += " of team " + aRecord.mTeam;
   }
@@ -73,8 +82,9 @@
   return text;
 }
 
+/// @return the predicate of a sentence: what was decided
 std::string
-Verdict(const DecisionRecord& aRecord)
+DecisionPhrase(const DecisionRecord& aRecord)
 {
   const bool request = aRecord.mSubjectKind == SubjectKind::Request;
   switch (aRecord.mDecision) {
@@ -92,101 +102,106 @@
   return "was decided on";
 }
 
-/// Words for one rule; the figures are filled in where they are known.
-using Reason = std::string (*)(const DecisionRecord&);
+/// Words the reason for a decision, with those figures that the record has.
+using ReasonFunction = std::string (*)(const DecisionRecord&);
 
-struct RuleWords
+/// A rule and the function that words it as a reason.
+struct RuleReason
 {
   const char* mRule;
-  Reason mReason;
+  ReasonFunction mReason;
 };
 
 std::string
-ForDeadline(const DecisionRecord& aRecord)
+DeadlineReason(const DecisionRecord& aRecord)
 {
   return "it could not have been answered in time" +
-         WithFigure(aRecord,
-                    figure::kExpectedMs,
-                    ": waiting and service were expected to take ",
-                    "",
-                    Duration) +
-         WithFigure(
-           aRecord, figure::kDeadlineMs, ", and it allowed ", "", Duration);
+         PhraseWithFigure(aRecord,
+                          figure::kExpectedMs,
+                          ": waiting and service were expected to take ",
+                          "",
+                          FormatDuration) +
+         PhraseWithFigure(aRecord,
+                          figure::kDeadlineMs,
+                          ", and it allowed ",
+                          "",
+                          FormatDuration);
 }
 
 std::string
-ForNeverFits(const DecisionRecord& aRecord)
+NeverFitsReason(const DecisionRecord& aRecord)
 {
   return "no worker is large enough" +
-         WithFigure(aRecord, figure::kCores, ": it asks for ", " cores") +
-         WithFigure(
+         PhraseWithFigure(aRecord, figure::kCores, ": it asks for ", " cores") +
+         PhraseWithFigure(
            aRecord, figure::kLargestCores, "; the largest has ", " cores") +
-         WithFigure(aRecord, figure::kMemoryMb, "; it asks for ", " MB") +
-         WithFigure(
+         PhraseWithFigure(aRecord, figure::kMemoryMb, "; it asks for ", " MB") +
+         PhraseWithFigure(
            aRecord, figure::kLargestMemoryMb, "; the largest has ", " MB");
 }
 
 std::string
-ForWaiting(const DecisionRecord& aRecord)
+WaitingReason(const DecisionRecord& aRecord)
 {
   return "all slots were taken" +
-         WithFigure(
+         PhraseWithFigure(
            aRecord, figure::kAhead, " and ", " earlier requests were waiting") +
          "; those that came first are served first";
 }
 
 std::string
-ForQuota(const DecisionRecord& aRecord)
+QuotaReason(const DecisionRecord& aRecord)
 {
   return "its team uses its quota already" +
-         WithFigure(
+         PhraseWithFigure(
            aRecord, figure::kQuotaUse, " (", "% of it)", [](double aUse) {
-             return Rounded(std::round(aUse * 100));
+             return FormatNumber(std::round(aUse * 100));
            });
 }
 
 std::string
-ForInterference(const DecisionRecord& aRecord)
+InterferenceReason(const DecisionRecord& aRecord)
 {
   return "a service on the same worker had become slow" +
-         WithFigure(aRecord,
-                    figure::kLostSeconds,
-                    "; of the tasks there it lost the least work, ",
-                    " s since its checkpoint");
+         PhraseWithFigure(aRecord,
+                          figure::kLostSeconds,
+                          "; of the tasks there it lost the least work, ",
+                          " s since its checkpoint");
 }
 
 std::string
-ForFailures(const DecisionRecord& aRecord)
+FailuresReason(const DecisionRecord& aRecord)
 {
   return "it failed on different workers" +
-         WithFigure(aRecord, figure::kFailures, " ", " times") +
+         PhraseWithFigure(aRecord, figure::kFailures, " ", " times") +
          ", so the fault is likely its own";
 }
 
 std::string
-ForFreeSlot(const DecisionRecord& aRecord)
+FreeSlotReason(const DecisionRecord& aRecord)
 {
-  const auto waited = Figure(aRecord, figure::kWaitedMs);
+  const auto waited = FindFigure(aRecord, figure::kWaitedMs);
   if (waited && *waited >= 1) {
-    return "a slot became free after " + Duration(*waited);
+    return "a slot became free after " + FormatDuration(*waited);
   }
   return "a slot was free";
 }
 
 std::string
-ForTries(const DecisionRecord& aRecord)
+TriesReason(const DecisionRecord& aRecord)
 {
   return "no try succeeded" +
-         WithFigure(aRecord, figure::kTries, " (", " tries)");
+         PhraseWithFigure(aRecord, figure::kTries, " (", " tries)");
 }
 
-constexpr RuleWords kRuleWords[] = {
-  { rule::kFreeSlot, ForFreeSlot },
+/// The reasons for all rules of namespace rule.
+constexpr RuleReason kRuleReasons[] = {
+  { rule::kFreeSlot, FreeSlotReason },
   { rule::kForwardedToPeer,
     [](const DecisionRecord&) -> std::string {
       return "another host had a free slot while this one had none";
     } },
-  { rule::kWaitsForSlot, ForWaiting },
+  { rule::kWaitsForSlot, WaitingReason },
   { rule::kRetried,
     [](const DecisionRecord&) -> std::string {
       return "a first try had failed and could safely be repeated";
@@ -204,7 +219,7 @@
     [](const DecisionRecord&) -> std::string {
       return "too many requests were waiting already";
     } },
-  { rule::kDeadlineTooShort, ForDeadline },
+  { rule::kDeadlineTooShort, DeadlineReason },
   { rule::kDeadlinePassed,
     [](const DecisionRecord&) -> std::string {
       return "no slot became free before its deadline";
@@ -214,7 +229,7 @@
       return "a try had failed, and repeating more requests would have "
              "overloaded the runners";
     } },
-  { rule::kTriesSpent, ForTries },
+  { rule::kTriesSpent, TriesReason },
   { rule::kNotRepeatable,
     [](const DecisionRecord&) -> std::string {
       return "it may have run already and must not run twice";
@@ -232,7 +247,7 @@
     [](const DecisionRecord&) -> std::string {
       return "it repeats an earlier request with the same key";
     } },
-  { rule::kLeaving,
+  { rule::kProcessLeaving,
     [](const DecisionRecord&) -> std::string {
       return "the host that received it was shutting down";
     } },
@@ -244,45 +259,47 @@
     [](const DecisionRecord&) -> std::string {
       return "a worker had room for it";
     } },
-  { rule::kCapacity,
+  { rule::kWorkerCapacity,
     [](const DecisionRecord&) -> std::string {
       return "no worker that it may use has enough free capacity";
     } },
-  { rule::kQuota, ForQuota },
-  { rule::kPriority,
+  { rule::kTeamQuota, QuotaReason },
+  { rule::kHigherPriorityFirst,
     [](const DecisionRecord&) -> std::string {
       return "services and urgent jobs come before it";
     } },
-  { rule::kAge,
+  { rule::kOlderFirst,
     [](const DecisionRecord&) -> std::string {
       return "jobs that were submitted earlier come before it";
     } },
-  { rule::kInterference, ForInterference },
+  { rule::kInterference, InterferenceReason },
   { rule::kDataCentreOut,
     [](const DecisionRecord&) -> std::string {
       return "operators have taken its data centre out of service";
     } },
-  { rule::kNoProof,
+  { rule::kNoProofInService,
     [](const DecisionRecord&) -> std::string {
       return "it could not be confirmed that the data centre is in service";
     } },
-  { rule::kNeverFits, ForNeverFits },
-  { rule::kHeldAfterFailures, ForFailures },
+  { rule::kNeverFits, NeverFitsReason },
+  { rule::kHeldAfterFailures, FailuresReason },
   { rule::kCancelled,
     [](const DecisionRecord&) -> std::string { return "it was cancelled"; } },
 };
 
+/// @return the reason for the decision as a clause; for a rule without an entry
+///         in kRuleReasons its name and all figures
 std::string
 ReasonOf(const DecisionRecord& aRecord)
 {
-  for (const RuleWords& words : kRuleWords) {
-    if (aRecord.mRule == words.mRule) {
-      return words.mReason(aRecord);
+  for (const RuleReason& ruleReason : kRuleReasons) {
+    if (aRecord.mRule == ruleReason.mRule) {
+      return ruleReason.mReason(aRecord);
     }
   }
   std::string reason = "rule " + aRecord.mRule;
   for (const auto& [name, value] : aRecord.mFigures) {
-    reason += ", " + name + " " + Rounded(value);
+    reason += ", " + name + " " + FormatNumber(value);
   }
   return reason;
 }
@@ -290,26 +307,26 @@
 } // namespace
 
 std::string
-SentenceOf(const DecisionRecord& aRecord)
+ExplainDecision(const DecisionRecord& aRecord)
 {
-  std::string text = Subject(aRecord) + " " + Verdict(aRecord) + ", because " +
-                     ReasonOf(aRecord) + ".";
-  if (!aRecord.mWhatWouldHaveChangedIt.empty()) {
-    text +=
-      " What would have changed it: " + aRecord.mWhatWouldHaveChangedIt + ".";
+  std::string text = SubjectPhrase(aRecord) + " " + DecisionPhrase(aRecord) +
+                     ", because " + ReasonOf(aRecord) + ".";
+  if (!aRecord.mCounterfactual.empty()) {
+    text += " What would have changed it: " + aRecord.mCounterfactual + ".";
   }
   return text;
 }
 
 std::string
-Comparison(const DecisionRecord& aFirst, const DecisionRecord& aOther)
+CompareDecisions(const DecisionRecord& aFirst, const DecisionRecord& aOther)
 {
-  const auto gap =
+  const auto differenceMs =
     std::chrono::duration<double, std::milli>(aOther.mTime - aFirst.mTime)
       .count();
-  std::string text =
-    Subject(aOther) + " was decided on " + Duration(std::abs(gap)) +
-    (gap < 0 ? " earlier" : " later") + " than " + Subject(aFirst) + ".";
+  std::string text = SubjectPhrase(aOther) + " was decided on " +
+                     FormatDuration(std::abs(differenceMs)) +
+                     (differenceMs < 0 ? " earlier" : " later") + " than " +
+                     SubjectPhrase(aFirst) + ".";
   if (aFirst.mRule == aOther.mRule && aFirst.mDecision == aOther.mDecision) {
     return text + " The same rule and the same decision applied to both.";
   }
--- a/Libraries/LibDocument/DecisionSentence.h
+++ b/Libraries/LibDocument/DecisionSentence.h
@@ -6,15 +6,17 @@
 
 namespace paddle {
 
-/// @return one or two sentences that say to the customer or the team what was
-///         decided, why, by which figures, and what would have changed it
+/// @return one or two sentences that tell the client account or the team what
+///         was decided, why, by which figures, and what would have led to
+///         another decision
 std::string
-SentenceOf(const DecisionRecord& aRecord);
+ExplainDecision(const DecisionRecord& aRecord);
 
-/// Says why one subject came before another, from their records alone.
-/// @param aFirst  the one that is asked about
-/// @param aOther  the one it is compared with
+/// Compares the decisions about two subjects, using only their records.
+/// @param aFirst record of the subject that is asked about
+/// @param aOther record of the subject that it is compared with
+/// @return sentences that say which was decided first and by which rules
 std::string
-Comparison(const DecisionRecord& aFirst, const DecisionRecord& aOther);
+CompareDecisions(const DecisionRecord& aFirst, const DecisionRecord& aOther);
 
 } // namespace paddle
--- a/Libraries/LibDocument/DocumentFields.cpp
+++ b/Libraries/LibDocument/DocumentFields.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
+/// @return whether a text is an IPv4 or IPv6 address, not a host name
 bool
-IsIpNumber(const std::string& aHost)
+IsIpAddress(const std::string& aHost)
 {
   in6_addr address{};
   return inet_pton(AF_INET, aHost.c_str(), &address) == 1 ||
@@ -19,10 +20,10 @@
 } // namespace
 
 bool
-IsName(const std::string& aText)
+IsValidName(const std::string& aText)
 {
-  constexpr std::size_t kLongestName = 64;
-  if (aText.empty() || aText.size() > kLongestName ||
+  constexpr std::size_t kMaxNameLength = 64;
+  if (aText.empty() || aText.size() > kMaxNameLength ||
       !std::isalnum(static_cast<unsigned char>(aText.front()))) {
     return false;
   }
@@ -35,7 +36,7 @@
 ReadName(ObjectReader& aReader, const char* aField, Presence aPresence)
 {
   std::string name = aReader.Text(aField, aPresence);
-  if (!name.empty() && !IsName(name)) {
+  if (!name.empty() && !IsValidName(name)) {
     aReader.Fail(aField,
                  "must be 1 to 64 letters, digits, \"-\", \"_\" or \".\" and "
                  "begin with a letter or digit, is \"" +
@@ -52,7 +53,7 @@
     return {};
   }
   Outcome<Endpoint> endpoint = ParseEndpoint(text);
-  if (!Succeeded(endpoint) || !IsIpNumber(ValueOf(endpoint).mHost)) {
+  if (!Succeeded(endpoint) || !IsIpAddress(ValueOf(endpoint).mHost)) {
     aReader.Fail(aField,
                  "must be an address \"IP:PORT\" with a port from 1 to 65535, "
                  "is \"" +
@@ -69,23 +70,23 @@
               const ResourceLimits& aLimits,
               std::vector<std::string>& aErrors)
 {
-  Resources size;
+  Resources resources;
   const Json::Value& value = aParent.Object(aField, Presence::Required);
   if (value.isNull()) {
-    return size;
+    return resources;
   }
   ObjectReader reader(aText, value, aParent.PathOf(aField), aErrors);
-  size.mCores = reader.Number(
-    "cores", aLimits.mLowestCores, aLimits.mMostCores, Presence::Required);
-  size.mMemoryMb =
+  resources.mCores = reader.Number(
+    "cores", aLimits.mMinCores, aLimits.mMaxCores, Presence::Required);
+  resources.mMemoryMb =
     static_cast<std::uint64_t>(reader.Integer("memoryMb",
-                                              aLimits.mLowestMemoryMb,
-                                              aLimits.mMostMemoryMb,
+                                              aLimits.mMinMemoryMb,
+                                              aLimits.mMaxMemoryMb,
                                               Presence::Required));
-  size.mAccelerators = static_cast<std::uint32_t>(reader.Integer(
-    "accelerators", 0, aLimits.mMostAccelerators, Presence::Optional, 0));
+  resources.mAccelerators = static_cast<std::uint32_t>(reader.Integer(
+    "accelerators", 0, aLimits.mMaxAccelerators, Presence::Optional, 0));
   reader.Finish();
-  return size;
+  return resources;
 }
 
 std::string
--- a/Libraries/LibDocument/DocumentKind.cpp
+++ b/Libraries/LibDocument/DocumentKind.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
+/// @return the kind if the document was parsed, or else its errors
 template<typename T>
 Outcome<DocumentKind>
-KindIfGood(const Outcome<T>& aParsed, DocumentKind aKind)
+KindIfValid(const Outcome<T>& aParsed, DocumentKind aKind)
 {
   if (!Succeeded(aParsed)) {
     return ErrorOf(aParsed);
@@ -61,13 +62,13 @@
   }
   switch (ValueOf(kind)) {
     case DocumentKind::Service:
-      return KindIfGood(ParseServiceDocument(aFile, aText), ValueOf(kind));
+      return KindIfValid(ParseServiceDocument(aFile, aText), ValueOf(kind));
     case DocumentKind::Places:
-      return KindIfGood(ParsePlacesDocument(aFile, aText), ValueOf(kind));
+      return KindIfValid(ParsePlacesDocument(aFile, aText), ValueOf(kind));
     case DocumentKind::Job:
-      return KindIfGood(ParseJobDocument(aFile, aText), ValueOf(kind));
+      return KindIfValid(ParseJobDocument(aFile, aText), ValueOf(kind));
     case DocumentKind::Settings:
-      return KindIfGood(ParseDaemonSettings(aFile, aText), ValueOf(kind));
+      return KindIfValid(ParseDaemonSettings(aFile, aText), ValueOf(kind));
   }
   return kind;
 }
--- a/Libraries/LibDocument/DocumentKind.h
+++ b/Libraries/LibDocument/DocumentKind.h
@@ -6,21 +6,27 @@
 
 namespace paddle {
 
+/// The documents that the project reads.
 enum class DocumentKind
 {
-  Service,
-  Places,
-  Job,
-  Settings
+  Service, ///< A latency-critical service, see ServiceDocument.
+  Places,  ///< The data centres of a deployment, see PlacesDocument.
+  Job,     ///< A batch job, see JobDocument.
+  Settings ///< Settings of one process, see DaemonSettings.
 };
 
-/// Tells the kind of a document by the member that only this kind requires:
-/// "service", "job", "member" or, without these, "dataCentres".
+/// Determines the kind of a document by a member that this kind requires:
+/// "service", "job", "member" or, if it has none of these, "dataCentres". The
+/// other kinds may have "dataCentres" as well, so it is looked for last.
+/// @param aFile name used in errors
+/// @return the kind, or an error if the document has none of these members
 Outcome<DocumentKind>
 DocumentKindOf(std::string_view aFile, std::string_view aText);
 
-/// Parses and checks a document of any kind, see ParseServiceDocument().
-/// @return its kind
+/// Parses and validates a document of any kind.
+/// @param aFile name used in errors
+/// @return the kind of a valid document, or all problems, see
+///         ParseServiceDocument()
 Outcome<DocumentKind>
 CheckDocument(std::string_view aFile, std::string_view aText);
 
--- a/Libraries/LibDocument/JobDocument.h
+++ b/Libraries/LibDocument/JobDocument.h
@@ -8,24 +8,27 @@
 
 namespace paddle {
 
+/// Priority of a job. The scheduler places urgent jobs before batch jobs.
 enum class JobClass
 {
   Batch,
   Urgent
 };
 
-/// A unit of batch work as submitted.
+/// A batch job as its team submits it.
 struct JobDocument
 {
-  std::string mJob; ///< Identity; a repeated submit of it changes nothing.
+  std::string mJobId; ///< Submitting the same id again changes nothing.
   std::string mTeam;
   JobClass mClass = JobClass::Batch;
-  Resources mSize;                       ///< As declared; may be far off.
-  Seconds mExpectedTime{ 0 };            ///< As declared; may be far off.
-  std::vector<std::string> mDataCentres; ///< Allowed ones; empty: all.
+  Resources mSize;               ///< As declared; the real use may differ much.
+  Seconds mExpectedRunTime{ 0 }; ///< As declared; may be far off the real time.
+  std::vector<std::string> mDataCentres; ///< Where it may run; empty: anywhere.
 };
 
-/// Parses and checks a job, see ParseServiceDocument().
+/// Parses and validates a job document.
+/// @param aFile name used in errors
+/// @return the job, or all problems, see ParseServiceDocument()
 Outcome<JobDocument>
 ParseJobDocument(std::string_view aFile, std::string_view aText);
 
--- a/Libraries/LibDocument/PlacesDocument.cpp
+++ b/Libraries/LibDocument/PlacesDocument.cpp
@@ -23,16 +23,17 @@
   for (Json::ArrayIndex i = 0; i < array.size(); ++i) {
     ObjectReader element(
       text, array[i], ElementPath(reader, "dataCentres", i), errors);
-    Place place;
-    place.mDataCentre = ReadName(element, "name", Presence::Required);
-    place.mRegion = ReadName(element, "region", Presence::Required);
+    DataCentreLocation location;
+    location.mDataCentre = ReadName(element, "name", Presence::Required);
+    location.mRegion = ReadName(element, "region", Presence::Required);
     element.Finish();
-    if (!place.mDataCentre.empty() && !names.insert(place.mDataCentre).second) {
+    if (!location.mDataCentre.empty() &&
+        !names.insert(location.mDataCentre).second) {
       element.Fail("name",
                    "is the name of an earlier data centre too, \"" +
-                     place.mDataCentre + "\"");
+                     location.mDataCentre + "\"");
     }
-    document.mPlaces.push_back(std::move(place));
+    document.mDataCentres.push_back(std::move(location));
   }
   if (array.isArray() && array.empty()) {
     reader.Fail("dataCentres", "must hold at least one data centre");
--- a/Libraries/LibDocument/PlacesDocument.h
+++ b/Libraries/LibDocument/PlacesDocument.h
@@ -9,19 +9,22 @@
 namespace paddle {
 
 /// A data centre and the region it belongs to.
-struct Place
+struct DataCentreLocation
 {
   std::string mDataCentre;
   std::string mRegion;
 };
 
-/// The data centres of a deployment.
+/// The data centres of a deployment ("places document" in the texts for users).
 struct PlacesDocument
 {
-  std::vector<Place> mPlaces; ///< At least one; names are unique.
+  /// At least one; their names are unique.
+  std::vector<DataCentreLocation> mDataCentres;
 };
 
-/// Parses and checks a places document, see ParseServiceDocument().
+/// Parses and validates a places document.
+/// @param aFile name used in errors
+/// @return the document, or all problems, see ParseServiceDocument()
 Outcome<PlacesDocument>
 ParsePlacesDocument(std::string_view aFile, std::string_view aText);
 
--- a/Libraries/LibDocument/ServiceDocument.cpp
+++ b/Libraries/LibDocument/ServiceDocument.cpp
@@ -9,8 +9,10 @@
 
 namespace {
 
+/// The collected problems of a document, one line each.
 using Errors = std::vector<std::string>;
 
+/// Reads the path of a URL, which must begin with "/".
 std::string
 ReadPath(ObjectReader& aReader,
          const char* aField,
@@ -24,6 +26,7 @@
   return path;
 }
 
+/// Reads one element of the array "routes".
 Route
 ReadRoute(ObjectReader& aReader)
 {
@@ -41,6 +44,7 @@
   return route;
 }
 
+/// Reads the array "routes"; the prefixes must be unique.
 std::vector<Route>
 ReadRoutes(const JsonText& aText, ObjectReader& aParent, Errors& aErrors)
 {
@@ -60,16 +64,17 @@
   return routes;
 }
 
-std::vector<ServiceTasks>
+/// Reads the array "tasks"; the names must be unique.
+std::vector<ServiceTaskGroup>
 ReadTasks(const JsonText& aText, ObjectReader& aParent, Errors& aErrors)
 {
-  std::vector<ServiceTasks> tasks;
+  std::vector<ServiceTaskGroup> tasks;
   std::set<std::string> names;
   const Json::Value& array = aParent.Array("tasks", Presence::Optional);
   for (Json::ArrayIndex i = 0; i < array.size(); ++i) {
     ObjectReader reader(
       aText, array[i], ElementPath(aParent, "tasks", i), aErrors);
-    ServiceTasks group;
+    ServiceTaskGroup group;
     group.mName = ReadName(reader, "name", Presence::Required);
     group.mCount = static_cast<std::uint32_t>(
       reader.Integer("count", 0, 100000, Presence::Required));
@@ -84,6 +89,8 @@
   return tasks;
 }
 
+/// Reads the limits of requests and connections per runner and checks them
+/// against each other.
 void
 ReadRunnerLimits(ObjectReader& aReader, ServiceDocument& aDocument)
 {
@@ -109,26 +116,34 @@
   }
 }
 
+/// Reads "longestRunMs", the maximum time that a runner works on a short
+/// request. The default is twice the longest deadline of a short route, and no
+/// value below that deadline is allowed.
 Millis
 ReadLongestRun(ObjectReader& aReader, const std::vector<Route>& aRoutes)
 {
-  Millis longest{ 0 };
+  Millis longestDeadline{ 0 };
   for (const Route& route : aRoutes) {
     if (route.mKind == RouteKind::Short) {
-      longest = std::max(longest, route.mDeadline);
+      longestDeadline = std::max(longestDeadline, route.mDeadline);
     }
   }
-  const Millis run(aReader.Integer(
-    "longestRunMs", 1, 600000, Presence::Optional, 2 * longest.count()));
-  if (run < longest) {
+  const Millis longestRun(aReader.Integer("longestRunMs",
+                                          1,
+                                          600000,
+                                          Presence::Optional,
+                                          2 * longestDeadline.count()));
+  if (longestRun < longestDeadline) {
     aReader.Fail("longestRunMs",
                  "must be at least the longest deadline of a short route (" +
-                   std::to_string(longest.count()) + " ms), is " +
-                   std::to_string(run.count()));
+                   std::to_string(longestDeadline.count()) + " ms), is " +
+                   std::to_string(longestRun.count()));
   }
-  return run;
+  return longestRun;
 }
 
+/// Reads the name of the service. The first parts of paths that gateways serve
+/// themselves are refused, because such a service could not be reached.
 std::string
 ReadServiceName(ObjectReader& aReader)
 {
--- a/Libraries/LibGateway/RequestPath.cpp
+++ b/Libraries/LibGateway/RequestPath.cpp
@@ -164,7 +164,7 @@
                "-" + std::to_string(++mNumber);
   }
   if (mClosed) {
-    return MakeRefusal(503, rule::kLeaving, "this gateway is leaving");
+    return MakeRefusal(503, rule::kProcessLeaving, "this gateway is leaving");
   }
   const auto configuration = mPorts.mConfiguration();
   if (!configuration) {
--- a/Libraries/LibGateway/RequestRecord.cpp
+++ b/Libraries/LibGateway/RequestRecord.cpp
@@ -128,7 +128,7 @@
   record.mDecision = DecisionOf(why.mKind);
   record.mSubject = label.mRequestId;
   record.mService = label.mService;
-  record.mCustomer = label.mCustomer;
+  record.mClientAccount = label.mCustomer;
   if (!aRecord.mOtherRule.empty()) {
     record.mRule = aRecord.mOtherRule;
     return record;
@@ -142,7 +142,7 @@
   };
   if (why.mKind != DecisionKind::Serve) {
     record.mFigures[figure::kFreeSlots] = why.mFreeSlots;
-    record.mWhatWouldHaveChangedIt = WhatWouldChange(why);
+    record.mCounterfactual = WhatWouldChange(why);
   }
   return record;
 }
--- a/Libraries/LibScheduler/ServiceTaskList.cpp
+++ b/Libraries/LibScheduler/ServiceTaskList.cpp
@@ -49,7 +49,7 @@
 {
   std::vector<WantedTask> wanted;
   for (const auto& [name, service] : aConfiguration.mServices) {
-    for (const ServiceTasks& tasks : service.mTasks) {
+    for (const ServiceTaskGroup& tasks : service.mTasks) {
       for (std::uint32_t i = 0; i < tasks.mCount; ++i) {
         WantedTask task;
         task.mSpec.mJob =
--- a/Libraries/LibScheduler/WorkerShards.cpp
+++ b/Libraries/LibScheduler/WorkerShards.cpp
@@ -66,12 +66,12 @@
 ToJobSpec(const JobDocument& aDocument)
 {
   JobSpec spec;
-  spec.mJob = aDocument.mJob;
+  spec.mJob = aDocument.mJobId;
   spec.mTeam = aDocument.mTeam;
   spec.mClass =
     aDocument.mClass == JobClass::Urgent ? TaskClass::Urgent : TaskClass::Batch;
   spec.mDeclared = ToAmount(aDocument.mSize);
-  spec.mExpectedTime = aDocument.mExpectedTime;
+  spec.mExpectedTime = aDocument.mExpectedRunTime;
   spec.mDataCentres = aDocument.mDataCentres;
   return spec;
 }
--- a/Tests/LibConfig/TestConfigFollower.cpp
+++ b/Tests/LibConfig/TestConfigFollower.cpp
@@ -9,9 +9,11 @@
 
 namespace {
 
-constexpr Millis kPoll{ 2 };
-constexpr Millis kLong{ 60000 };
+constexpr Millis kPollInterval{ 2 };
+/// An age that the configuration does not reach during a test.
+constexpr Millis kLongMaxAge{ 60000 };
 
+/// @return the value of a row with the document of the service "desk"
 std::string
 DocumentRow(int aVersion, int aSlots)
 {
@@ -23,6 +25,8 @@
          R"( \"quota\": {\"cores\": 1, \"memoryMb\": 1}}"})";
 }
 
+/// @param aState "in" or "out"
+/// @return the value of a row with a data centre
 std::string
 DataCentreRow(const char* aState)
 {
@@ -30,8 +34,10 @@
          R"(", "who": "w", "why": "y"})";
 }
 
-/// Waits until the condition holds; gives up after far longer than it can
-/// take, so that a failure ends the test.
+/// Waits until the condition holds, for at least 10 s, which is far longer than
+/// it can take. A test whose condition never holds fails then, and does not
+/// hang.
+/// @return whether the condition held
 bool
 Eventually(const std::function<bool()>& aCondition)
 {
@@ -44,6 +50,7 @@
   return false;
 }
 
+/// Waits until the follower has read this revision.
 bool
 ReachesRevision(const ConfigFollower& aFollower, std::uint64_t aRevision)
 {
@@ -67,11 +74,11 @@
   }
 };
 
-// Guards against a process that serves before it has read the configuration,
-// and against an accepted change that never arrives.
-TEST(ConfigFollower, FollowsRisingRevisions)
+// Guards against a follower that never reads the configuration, and against an
+// accepted change that never reaches a running process.
+TEST(ConfigFollower, AppliesNewRevisions)
 {
-  const ConfigFollower follower(mTable.Port(), kPoll);
+  const ConfigFollower follower(mTable.Port(), kPollInterval);
   CHECK_TRUE(ReachesRevision(follower, 1));
   mTable.Put("doc/desk", DocumentRow(2, 4));
   mTable.Put("config/revision", "2");
@@ -81,55 +88,59 @@
   LONGS_EQUAL(2, desk.mVersion);
 }
 
-// Guards against a slow reader's old answer that reverts an accepted change,
-// or that counts as a proof of the present state.
-TEST(ConfigFollower, NeverAppliesALowerRevision)
+// Guards against an outdated answer of the table service that reverts an
+// accepted change, or that counts as confirmation of the current state.
+TEST(ConfigFollower, NeverAppliesLowerRevision)
 {
   mTable.Put("config/revision", "7");
-  const ConfigFollower follower(mTable.Port(), kPoll);
+  const ConfigFollower follower(mTable.Port(), kPollInterval);
   CHECK_TRUE(ReachesRevision(follower, 7));
   mTable.Put("dc/dc-1", DataCentreRow("out"));
   mTable.Put("config/revision", "6");
-  // The age grows although every read is answered.
+  // The age grows although every read is answered, because the answers hold a
+  // lower revision.
   CHECK_TRUE(Eventually([&] { return follower.Age() > Millis(50); }));
   LONGS_EQUAL(7, follower.Current()->mRevision);
   mTable.Put("config/revision", "8");
   CHECK_TRUE(ReachesRevision(follower, 8));
-  CHECK_FALSE(follower.ProvenInService("dc-1", kLong));
+  CHECK_FALSE(follower.ConfirmedInService("dc-1", kLongMaxAge));
 }
 
-// Guards against an outage that leaves a stale proof in force, and against a
-// follower that drops its configuration or does not recover.
-TEST(ConfigFollower, KeepsConfigurationThroughOutageWithoutProof)
+// Guards against three faults during an outage of the table service: an old
+// confirmation that a data centre is in service still counts; the follower
+// drops its configuration; it does not recover afterwards.
+TEST(ConfigFollower, KeepsConfigurationButConfirmsNothingDuringOutage)
 {
-  const ConfigFollower follower(mTable.Port(), kPoll);
+  const ConfigFollower follower(mTable.Port(), kPollInterval);
   CHECK_TRUE(ReachesRevision(follower, 1));
-  CHECK_TRUE(follower.ProvenInService("dc-1", kLong));
+  CHECK_TRUE(follower.ConfirmedInService("dc-1", kLongMaxAge));
   mTable.mFaults.SetOutage(true);
   CHECK_TRUE(Eventually([&] { return follower.Age() > Millis(50); }));
-  CHECK_FALSE(follower.ProvenInService("dc-1", Millis(50)));
+  CHECK_FALSE(follower.ConfirmedInService("dc-1", Millis(50)));
   LONGS_EQUAL(1, follower.Current()->mRevision);
   mTable.Put("dc/dc-1", DataCentreRow("out"));
   mTable.Put("config/revision", "2");
   mTable.mFaults.SetOutage(false);
   CHECK_TRUE(ReachesRevision(follower, 2));
-  CHECK_FALSE(follower.ProvenInService("dc-1", kLong));
+  CHECK_FALSE(follower.ConfirmedInService("dc-1", kLongMaxAge));
 }
 
-// Guards against a process that has read nothing and counts as up to date.
-TEST(ConfigFollower, ProvesNothingBeforeTheFirstRead)
+// Guards against a process that counts as up to date before it has read
+// anything.
+TEST(ConfigFollower, ConfirmsNothingBeforeTheFirstRead)
 {
   mTable.mFaults.SetOutage(true);
-  const ConfigFollower follower(mTable.Port(), kPoll);
-  CHECK_FALSE(follower.ProvenInService("dc-1", kLong));
+  const ConfigFollower follower(mTable.Port(), kPollInterval);
+  CHECK_FALSE(follower.ConfirmedInService("dc-1", kLongMaxAge));
   CHECK_FALSE(follower.Age().has_value());
   CHECK_TRUE(follower.Current() == nullptr);
 }
 
-// Guards against one damaged row that removes a service or stops all others.
-TEST(ConfigFollower, KeepsFormerDocumentOfADamagedRow)
+// Guards against one damaged row that removes its service, keeps a data centre
+// in service, or stops updates of all other rows.
+TEST(ConfigFollower, KeepsPreviousDocumentOfDamagedRow)
 {
-  const ConfigFollower follower(mTable.Port(), kPoll);
+  const ConfigFollower follower(mTable.Port(), kPollInterval);
   CHECK_TRUE(ReachesRevision(follower, 1));
   mTable.Put("doc/desk", "{");
   mTable.Put("dc/dc-1", "{");
@@ -137,21 +148,22 @@
   mTable.Put("config/revision", "2");
   CHECK_TRUE(ReachesRevision(follower, 2));
   LONGS_EQUAL(8, follower.Current()->mServices.at("desk").mSlotsPerRunner);
-  CHECK_FALSE(follower.ProvenInService("dc-1", kLong));
-  CHECK_TRUE(follower.ProvenInService("dc-2", kLong));
+  CHECK_FALSE(follower.ConfirmedInService("dc-1", kLongMaxAge));
+  CHECK_TRUE(follower.ConfirmedInService("dc-2", kLongMaxAge));
 }
 
-// Guards against a restart that begins with an older configuration.
-TEST(ConfigFollower, RestartReadsTheNewestRevision)
+// Guards against a process that begins with an older configuration after a
+// restart.
+TEST(ConfigFollower, RestartReadsNewestRevision)
 {
   mTable.Put("config/revision", "41");
   {
-    const ConfigFollower first(mTable.Port(), kPoll);
+    const ConfigFollower first(mTable.Port(), kPollInterval);
     CHECK_TRUE(ReachesRevision(first, 41));
   }
   mTable.Put("doc/desk", DocumentRow(2, 6));
   mTable.Put("config/revision", "42");
-  const ConfigFollower second(mTable.Port(), kPoll);
+  const ConfigFollower second(mTable.Port(), kPollInterval);
   CHECK_TRUE(Eventually([&] { return second.Current() != nullptr; }));
   LONGS_EQUAL(42, second.Current()->mRevision);
   LONGS_EQUAL(6, second.Current()->mServices.at("desk").mSlotsPerRunner);
--- a/Tests/LibControl/TestReports.cpp
+++ b/Tests/LibControl/TestReports.cpp
@@ -25,7 +25,7 @@
   record.mMember = "gateway-1";
   record.mSubject = aSubject;
   record.mService = "desk";
-  record.mCustomer = aCustomer;
+  record.mClientAccount = aCustomer;
   record.mRule = rule::kFreeSlot;
   record.mFigures[figure::kWaitedMs] = 20;
   return record;
@@ -54,7 +54,7 @@
   refused.mRule = rule::kDeadlineTooShort;
   refused.mFigures = { { figure::kDeadlineMs, 500 },
                        { figure::kExpectedMs, 1250 } };
-  refused.mWhatWouldHaveChangedIt = "a deadline of at least 1.3 s";
+  refused.mCounterfactual = "a deadline of at least 1.3 s";
   Store(1, { refused });
   Store(2, { Record(12, "r-2", "Bea") });
   const ControlResult result = ExplainSubject(mWorld.Ports(), {}, "r-1", "r-2");
--- a/Tests/LibDocument/TestDecisionRecord.cpp
+++ b/Tests/LibDocument/TestDecisionRecord.cpp
@@ -8,9 +8,9 @@
 
 TEST_GROUP(DecisionRecord){};
 
-// Guards against a record whose reason or figures are lost on the way to the
-// store, so that a decision can't be explained.
-TEST(DecisionRecord, SurvivesEncoding)
+// Guards against a decision that can't be explained, because encoding or
+// decoding its record loses the reason or the figures.
+TEST(DecisionRecord, DecodingRestoresReasonAndFigures)
 {
   DecisionRecord record;
   record.mTime = std::chrono::system_clock::time_point(Micros(1234567890123));
@@ -18,11 +18,11 @@
   record.mDecision = Decision::Refused;
   record.mSubject = "r-1";
   record.mService = "press-desk";
-  record.mCustomer = "Ana's orchard";
+  record.mClientAccount = "Ana's orchard";
   record.mRule = rule::kDeadlineTooShort;
   record.mFigures = { { figure::kDeadlineMs, 500 },
                       { figure::kExpectedMs, 900.5 } };
-  record.mWhatWouldHaveChangedIt = "a deadline of at least 901 ms";
+  record.mCounterfactual = "a deadline of at least 901 ms";
   const auto decoded = DecodeRecords("o", EncodeRecords({ record, record }));
   CHECK_TRUE(Succeeded(decoded));
   LONGS_EQUAL(2, ValueOf(decoded).size());
@@ -31,15 +31,17 @@
   CHECK_TRUE(ValueOf(decoded)[1].mTime == record.mTime);
 }
 
-// Guards against a damaged batch that is shown as if it were complete.
+// Guards against a damaged batch of records that is shown as if it were
+// complete.
 TEST(DecisionRecord, RefusesDamagedBatch)
 {
   CHECK_FALSE(Succeeded(DecodeRecords("o", R"({"records": [{}]})")));
   CHECK_FALSE(Succeeded(DecodeRecords("o", R"([])")));
 }
 
-// Guards against names that sort in another order than the decisions.
-TEST(DecisionRecord, NamesSortBySequence)
+// Guards against names of stored batches that sort in another order than the
+// batches were written in, for instance "10" before "9".
+TEST(DecisionRecord, ObjectNamesSortBySequence)
 {
   CHECK_TRUE(RecordObjectName("g", 9) < RecordObjectName("g", 10));
 }
--- a/Tests/LibDocument/TestBase.cpp
+++ b/Tests/LibDocument/TestDeploymentFiles.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+/// @return the contents of a file
 std::string
 ReadText(const std::filesystem::path& aPath)
 {
@@ -21,6 +22,7 @@
   return text.str();
 }
 
+/// @return the files of a deployment (a folder of Base) with this extension
 std::vector<std::filesystem::path>
 FilesUnder(const std::string& aDeployment, const std::string& aExtension)
 {
@@ -35,8 +37,10 @@
   return files;
 }
 
+/// Checks that all documents of a deployment are valid, and that it has
+/// settings for 16 processes with unique names.
 void
-CheckAllFiles(const std::string& aDeployment)
+CheckDocumentsOf(const std::string& aDeployment)
 {
   std::set<std::string> names;
   for (const auto& path : FilesUnder(aDeployment, ".jsonc")) {
@@ -55,22 +59,24 @@
 
 } // namespace
 
-TEST_GROUP(Base){};
+TEST_GROUP(DeploymentFiles){};
 
-// Guards against example files that the parsers refuse, and against two
-// processes of one name.
-TEST(Base, FilesOfCooperativaAreAccepted)
+// Guards against deployment files that the parsers refuse, and against two
+// processes with the same name.
+TEST(DeploymentFiles, DocumentsOfCooperativaAreValid)
 {
-  CheckAllFiles("cooperativa");
+  CheckDocumentsOf("cooperativa");
 }
 
-TEST(Base, FilesOfMadhuryaAreAccepted)
+// Guards against the same faults in the files of the other deployment.
+TEST(DeploymentFiles, DocumentsOfMadhuryaAreValid)
 {
-  CheckAllFiles("madhurya");
+  CheckDocumentsOf("madhurya");
 }
 
-// Guards against two hosts at one address, of which one is never reached.
-TEST(Base, HostsHaveTheirOwnAddresses)
+// Guards against two hosts with the same address, one of which would never be
+// reached.
+TEST(DeploymentFiles, HostAddressesAreUnique)
 {
   std::set<std::string> addresses;
   std::size_t hosts = 0;
--- a/Tests/LibDocument/TestOperationsPage.cpp
+++ b/Tests/LibDocument/TestOperationsPage.cpp
@@ -11,21 +11,23 @@
 
 namespace {
 
-/// @return the names after "allowed here:" in the errors about a document
-///         whose objects all hold the unknown member "zzz"
+/// Collects the field names that a kind of document allows from the errors
+/// about a document of this kind.
+/// @param aText a document whose objects all hold the unknown member "zzz"
+/// @return the names that follow "allowed here:" in the errors
 std::vector<std::string>
-FieldsOf(const char* aText)
+AllowedFieldsOf(const char* aText)
 {
   const auto checked = CheckDocument("d", aText);
   std::istringstream lines(ErrorOf(checked).mMessage);
   std::vector<std::string> fields;
-  const std::string mark = "allowed here:";
+  const std::string marker = "allowed here:";
   for (std::string line; std::getline(lines, line);) {
-    const std::size_t found = line.find(mark);
+    const std::size_t found = line.find(marker);
     if (found == std::string::npos) {
       continue;
     }
-    std::istringstream names(line.substr(found + mark.size()));
+    std::istringstream names(line.substr(found + marker.size()));
     for (std::string name; names >> name;) {
       fields.push_back(name);
     }
@@ -37,8 +39,9 @@
 
 TEST_GROUP(OperationsPage){};
 
-// Guards against a field that the operations page does not describe.
-TEST(OperationsPage, NamesEveryField)
+// Guards against a field of a document that the operations page does not
+// describe.
+TEST(OperationsPage, DescribesEveryDocumentField)
 {
   std::ostringstream page;
   page << std::ifstream(PADDLE_OPERATIONS_PAGE).rdbuf();
@@ -51,7 +54,7 @@
          R"({"member": 1, "zzz": 1, "platform": {"zzz": 1},
            "lease": {"zzz": 1}})",
          R"({"dataCentres": [{"zzz": 1}], "zzz": 1})" }) {
-    for (const std::string& field : FieldsOf(document)) {
+    for (const std::string& field : AllowedFieldsOf(document)) {
       if (text.find("`" + field + "`") == std::string::npos) {
         FAIL(("docs/operations.md lacks the field " + field).c_str());
       }
--- a/Tests/LibDocument/TestOtherDocuments.cpp
+++ b/Tests/LibDocument/TestOtherDocuments.cpp
@@ -8,7 +8,8 @@
 
 TEST_GROUP(OtherDocuments){};
 
-// Guards against a job whose class or allowed data centres are dropped.
+// Guards against a parser that drops the class, resources, expected run time or
+// allowed data centres of a job.
 TEST(OtherDocuments, ReadsJob)
 {
   const auto parsed = ParseJobDocument("j.jsonc", R"({
@@ -19,12 +20,13 @@
   CHECK_TRUE(Succeeded(parsed));
   const JobDocument& job = ValueOf(parsed);
   CHECK_TRUE(job.mClass == JobClass::Urgent);
-  LONGS_EQUAL(600, job.mExpectedTime.count());
+  LONGS_EQUAL(600, job.mExpectedRunTime.count());
   LONGS_EQUAL(1, job.mSize.mAccelerators);
   STRCMP_EQUAL("dc-1", job.mDataCentres[0].c_str());
 }
 
-// Guards against a job without a size, which would fit on a full worker.
+// Guards against a job that needs no cores and no memory, which would fit on a
+// full worker.
 TEST(OtherDocuments, RefusesJobWithoutSize)
 {
   const auto parsed = ParseJobDocument("j.jsonc", R"({
@@ -40,8 +42,9 @@
                ErrorOf(parsed).mMessage.c_str());
 }
 
-// Guards against lease settings under which one lost renewal ends a session.
-TEST(OtherDocuments, RefusesLeaseThatOneLostRenewalEnds)
+// Guards against lease settings with which the loss of one renewal ends a
+// session, and against a host name as the address to listen on.
+TEST(OtherDocuments, RefusesRenewIntervalAboveHalfTheTerm)
 {
   const auto parsed = ParseDaemonSettings("g.jsonc", R"({
   "member": "gateway-1", "dataCentre": "dc-1", "region": "r",
@@ -57,8 +60,9 @@
                ErrorOf(parsed).mMessage.c_str());
 }
 
-// Guards against settings whose defaults differ from the documented ones.
-TEST(OtherDocuments, ReadsSettingsAndDefaults)
+// Guards against defaults of process settings that differ from the documented
+// ones.
+TEST(OtherDocuments, ReadsProcessSettingsAndDefaults)
 {
   const auto parsed = ParseDaemonSettings("g.jsonc", R"({
   "member": "gateway-1", "dataCentre": "dc-1", "region": "r",
@@ -75,8 +79,8 @@
   STRCMP_EQUAL("learned", settings.mPlacementPolicy.c_str());
 }
 
-// Guards against a data centre that is listed in two regions.
-TEST(OtherDocuments, RefusesDataCentreGivenTwice)
+// Guards against a data centre that is listed twice, in two regions.
+TEST(OtherDocuments, RefusesDuplicateDataCentre)
 {
   const auto parsed = ParsePlacesDocument("p.jsonc", R"({ "dataCentres": [
   { "name": "dc-1", "region": "a" }, { "name": "dc-1", "region": "b" }
--- a/Tests/LibDocument/TestServiceDocument.cpp
+++ b/Tests/LibDocument/TestServiceDocument.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr const char* kGood = R"({
+/// A document without problems, which leaves some fields at their defaults.
+constexpr const char* kValidDocument = R"({
   // Lends presses to growers.
   "service": "press-desk",
   "team": "presses",
@@ -26,10 +27,11 @@
 
 TEST_GROUP(ServiceDocument){};
 
-// Guards against defaults that differ from the documented ones.
+// Guards against defaults of a service document that differ from the documented
+// ones.
 TEST(ServiceDocument, ReadsFieldsAndDefaults)
 {
-  const auto parsed = ParseServiceDocument("p.jsonc", kGood);
+  const auto parsed = ParseServiceDocument("p.jsonc", kValidDocument);
   CHECK_TRUE(Succeeded(parsed));
   const ServiceDocument& document = ValueOf(parsed);
   STRCMP_EQUAL("press-desk", document.mService.c_str());
@@ -42,8 +44,9 @@
   LONGS_EQUAL(10, document.mTasks[0].mCount);
 }
 
-// Guards against an author who must repair one problem per attempt, and
-// against an error without position, value and range.
+// Guards against a parser that stops at the first problem, so that the author
+// must repair one problem per attempt, and against errors that lack the
+// position, the value or the allowed range.
 TEST(ServiceDocument, ReportsAllProblemsAtOnce)
 {
   const auto parsed = ParseServiceDocument("p.jsonc", R"({
@@ -82,15 +85,17 @@
     ErrorOf(parsed).mMessage.c_str());
 }
 
-// Guards against a service whose path hides a gateway's own paths.
-TEST(ServiceDocument, RefusesReservedNames)
+// Guards against a service whose name is the first part of a path that gateways
+// serve themselves, so that one would hide the other.
+TEST(ServiceDocument, RefusesReservedServiceName)
 {
-  std::string text = kGood;
+  std::string text = kValidDocument;
   text.replace(text.find("press-desk"), 10, "savorypaddle");
   CHECK_FALSE(Succeeded(ParseServiceDocument("p.jsonc", text)));
 }
 
-// Guards against one key given twice, where each reader sees another value.
+// Guards against a key that is given twice, of which one reader uses the first
+// value and another reader the second.
 TEST(ServiceDocument, RefusesDuplicateKeys)
 {
   const auto parsed =
--- a/Utilities/Main.cpp
+++ b/Utilities/Main.cpp
@@ -16,7 +16,7 @@
   StartLogging("savorypaddle", LogLevel::Warning);
   const Invocation& invocation = std::get<Invocation>(parsed);
   const ControlResult result = RunCommand(invocation);
-  if (invocation.mForm == OutputForm::Json) {
+  if (invocation.mOutputFormat == OutputFormat::Json) {
     std::cout << WriteJson(result.mJson) << "\n";
   } else {
     (result.mExit == ExitCode::Done ? std::cout : std::cerr) << result.mText;
--- a/Utilities/RunCommand.cpp
+++ b/Utilities/RunCommand.cpp
@@ -20,8 +20,9 @@
 
 namespace {
 
+/// @return the contents of a file
 Outcome<std::string>
-ReadText(const std::string& aPath)
+ReadFile(const std::string& aPath)
 {
   std::ifstream in(aPath, std::ios::binary);
   std::ostringstream text;
@@ -32,8 +33,10 @@
   return text.str();
 }
 
+/// @return settings with which the table service, the object store and the host
+///         list are reached at the one address that the user gave
 Outcome<PlatformSettings>
-PlatformOf(const Invocation& aInvocation)
+PlatformSettingsOf(const Invocation& aInvocation)
 {
   if (aInvocation.mPlatform.empty()) {
     return Error{ ErrorKind::InvalidInput,
@@ -51,6 +54,7 @@
                            Millis(aInvocation.mTimeoutMs) };
 }
 
+/// Connects the ports of LibControl to the platform and to the clocks.
 ControlPorts
 MakePorts(HttpClient& aClient, const PlatformSettings& aPlatform)
 {
@@ -69,13 +73,15 @@
   return ports;
 }
 
+/// @return which decision records to read; those of the last 15 minutes if the
+///         user gave no start
 Outcome<RecordWindow>
-WindowOf(const Invocation& aInvocation)
+RecordWindowOf(const Invocation& aInvocation)
 {
   constexpr std::chrono::minutes kDefaultWindow{ 15 };
   RecordWindow window;
   window.mMember = aInvocation.mMember;
-  window.mMostBatches = aInvocation.mBatches;
+  window.mMostBatches = aInvocation.mMaxBatches;
   window.mSince = std::chrono::system_clock::now() - kDefaultWindow;
   if (!aInvocation.mSince.empty()) {
     const auto since = ParseTimeText(aInvocation.mSince);
@@ -90,27 +96,29 @@
   return window;
 }
 
+/// Runs a command that sends the contents of a file: submit or apply.
 ControlResult
-RunWithText(const Invocation& aInvocation, const ControlPorts& aPorts)
+RunFileCommand(const Invocation& aInvocation, const ControlPorts& aPorts)
 {
-  const Outcome<std::string> text = ReadText(aInvocation.mSubject);
+  const Outcome<std::string> text = ReadFile(aInvocation.mSubject);
   if (!Succeeded(text)) {
     return ReadFailure(ErrorOf(text));
   }
   if (aInvocation.mCommand == Command::Submit) {
     return SubmitJob(
-      aPorts, aInvocation.mSubject, ValueOf(text), aInvocation.mJob);
+      aPorts, aInvocation.mSubject, ValueOf(text), aInvocation.mJobId);
   }
   return ApplyDocument(
     aPorts,
     { aInvocation.mWho, aInvocation.mWhy },
-    { aInvocation.mSubject, ValueOf(text), aInvocation.mFrom });
+    { aInvocation.mSubject, ValueOf(text), aInvocation.mExpectedVersion });
 }
 
+/// Runs a command that reads decision records: explain or fairness.
 ControlResult
-RunWithRecords(const Invocation& aInvocation, const ControlPorts& aPorts)
+RunRecordCommand(const Invocation& aInvocation, const ControlPorts& aPorts)
 {
-  const Outcome<RecordWindow> window = WindowOf(aInvocation);
+  const Outcome<RecordWindow> window = RecordWindowOf(aInvocation);
   if (!Succeeded(window)) {
     return ReadFailure(ErrorOf(window));
   }
@@ -118,11 +126,12 @@
     return ShowFairness(aPorts, ValueOf(window), aInvocation.mSubject);
   }
   return ExplainSubject(
-    aPorts, ValueOf(window), aInvocation.mSubject, aInvocation.mOther);
+    aPorts, ValueOf(window), aInvocation.mSubject, aInvocation.mOtherSubject);
 }
 
+/// Runs any command that needs the platform, which is all but check.
 ControlResult
-RunWithPorts(const Invocation& aInvocation, const ControlPorts& aPorts)
+RunPlatformCommand(const Invocation& aInvocation, const ControlPorts& aPorts)
 {
   const Author author{ aInvocation.mWho, aInvocation.mWhy };
   switch (aInvocation.mCommand) {
@@ -138,10 +147,10 @@
       return ShowAudit(aPorts, aInvocation.mSince);
     case Command::Apply:
     case Command::Submit:
-      return RunWithText(aInvocation, aPorts);
+      return RunFileCommand(aInvocation, aPorts);
     case Command::Explain:
     case Command::Fairness:
-      return RunWithRecords(aInvocation, aPorts);
+      return RunRecordCommand(aInvocation, aPorts);
     case Command::Status:
     case Command::Check:
       break;
@@ -155,19 +164,19 @@
 RunCommand(const Invocation& aInvocation)
 {
   if (aInvocation.mCommand == Command::Check) {
-    const Outcome<std::string> text = ReadText(aInvocation.mSubject);
+    const Outcome<std::string> text = ReadFile(aInvocation.mSubject);
     return Succeeded(text)
              ? CheckDocumentFile(aInvocation.mSubject, ValueOf(text))
              : ReadFailure(ErrorOf(text));
   }
-  const Outcome<PlatformSettings> platform = PlatformOf(aInvocation);
+  const Outcome<PlatformSettings> platform = PlatformSettingsOf(aInvocation);
   if (!Succeeded(platform)) {
     return ReadFailure(ErrorOf(platform));
   }
   HttpClientSettings settings;
   settings.mUserAgent = "savorypaddle/command-line";
   HttpClient client(settings);
-  return RunWithPorts(aInvocation, MakePorts(client, ValueOf(platform)));
+  return RunPlatformCommand(aInvocation, MakePorts(client, ValueOf(platform)));
 }
 
 } // namespace paddle
--- a/Utilities/RunCommand.h
+++ b/Utilities/RunCommand.h
@@ -5,7 +5,8 @@
 
 namespace paddle {
 
-/// Connects to the platform, where the command needs it, and runs the command.
+/// Runs the command, and connects to the platform if the command needs it.
+/// @return the texts to print and the exit code
 ControlResult
 RunCommand(const Invocation& aInvocation);
 
