--- a/Libraries/LibGateway/RequestHandler.cpp
+++ b/Libraries/LibGateway/RequestHandler.cpp
@@ -176,7 +176,7 @@
                "-" + std::to_string(++mLastNumber);
   }
   if (mRefusing) {
-    return MakeRefusal(503, rule::kLeaving, "this gateway is leaving");
+    return MakeRefusal(503, rule::kProcessLeaving, "this gateway is leaving");
   }
   const auto configuration = mPorts.mConfiguration();
   if (!configuration) {
--- a/Libraries/LibGateway/RequestRecord.cpp
+++ b/Libraries/LibGateway/RequestRecord.cpp
@@ -133,7 +133,7 @@
   record.mDecision = DecisionOf(why.mKind);
   record.mSubject = label.mRequestId;
   record.mService = label.mService;
-  record.mCustomer = label.mClientAccount;
+  record.mClientAccount = label.mClientAccount;
   if (!aRecord.mNonRoutingRule.empty()) {
     record.mRule = aRecord.mNonRoutingRule;
     return record;
@@ -147,7 +147,7 @@
   };
   if (why.mKind != DecisionKind::Serve) {
     record.mFigures[figure::kFreeSlots] = why.mFreeSlots;
-    record.mWhatWouldHaveChangedIt = WhatWouldChange(why);
+    record.mCounterfactual = WhatWouldChange(why);
   }
   return record;
 }
