--- a/Utilities/RunCommand.cpp
+++ b/Utilities/RunCommand.cpp
@@ -81,7 +81,7 @@
   constexpr std::chrono::minutes kDefaultWindow{ 15 };
   RecordWindow window;
   window.mMember = aInvocation.mMember;
-  window.mMostBatches = aInvocation.mMaxBatches;
+  window.mMaxBatches = aInvocation.mMaxBatches;
   window.mSince = std::chrono::system_clock::now() - kDefaultWindow;
   if (!aInvocation.mSince.empty()) {
     const auto since = ParseTimeText(aInvocation.mSince);
