--- a/Tests/Scenarios/LuaJson.cpp
+++ b/Tests/Scenarios/LuaJson.cpp
@@ -4,6 +4,7 @@
 
 namespace {
 
+/// Converts elements 1 to N of the Lua table at @p aIndex to a JSON array.
 Json::Value
 ArrayAt(lua_State* aLua, int aIndex)
 {
@@ -17,14 +18,16 @@
   return array;
 }
 
+/// Converts the Lua table at @p aIndex to a JSON object.
+/// @param aIndex absolute stack index, since the loop pushes values
 Json::Value
 ObjectAt(lua_State* aLua, int aIndex)
 {
   Json::Value object(Json::objectValue);
   lua_pushnil(aLua);
   while (lua_next(aLua, aIndex) != 0) {
-    // Keys are copied first, because lua_tostring() changes a number in
-    // place, which breaks lua_next().
+    // The key is copied before it is converted, because lua_tostring()
+    // converts a number in place, which would break lua_next().
     lua_pushvalue(aLua, -2);
     object[lua_tostring(aLua, -1)] = JsonAt(aLua, -2);
     lua_pop(aLua, 2);
--- a/Tests/Scenarios/LuaJson.h
+++ b/Tests/Scenarios/LuaJson.h
@@ -5,12 +5,14 @@
 
 namespace paddle {
 
-/// Pushes a JSON value; null becomes nil.
+/// Pushes a JSON value onto the Lua stack. JSON null becomes nil.
 void
 PushJson(lua_State* aLua, const Json::Value& aValue);
 
-/// @return the Lua value at @p aIndex; a table with an element 1 becomes an
-///         array, any other an object
+/// Converts a Lua value to JSON.
+/// @param aIndex stack index of the value
+/// @return the value at @p aIndex; a table with an element 1 becomes an array,
+///         any other table becomes an object
 Json::Value
 JsonAt(lua_State* aLua, int aIndex);
 
--- a/Tests/Scenarios/Main.cpp
+++ b/Tests/Scenarios/Main.cpp
@@ -11,35 +11,42 @@
 
 #include <Scenarios/Primitives.h>
 
-// Runs one scenario script: run-scenario PROGRAMS VOCABULARY SCRIPT. PROGRAMS
-// is a file with a line "NAME PATH" per program. Exits 0 if the script ran to
-// its end.
+// Runs one scenario script: run-scenario PROGRAMS VOCABULARY SCRIPT.
+// PROGRAMS is a file with one line "NAME PATH" per program that a scenario can
+// start. VOCABULARY is a Lua file that defines the functions scripts use.
+// SCRIPT is the scenario. The exit code is 0 if the script ran to its end
+// without an error, 1 if it failed, and 2 if it could not be started.
 
 using namespace paddle;
 
 namespace {
 
-/// A script that takes longer is stuck. The limit is below the time-out of
-/// ctest, which would kill this process and leave its children behind.
-constexpr unsigned kLimitSeconds = 150;
+/// Time after which a script is considered stuck and fails. It is below the
+/// time-out of ctest, which would kill this process without ending its child
+/// processes.
+constexpr unsigned kTimeLimitSeconds = 150;
 
+/// Whether a signal has asked the script to end.
 std::atomic<bool> sInterrupted{ false };
 
+/// Signal handler for termination, interruption and the time limit.
 void
-Interrupt(int)
+RequestInterrupt(int)
 {
   sInterrupted = true;
 }
 
-/// Ends the script at its next instruction after a signal.
+/// Lua hook that runs every kInstructionsPerInterruptCheck instructions and
+/// raises an error in the script once a signal has arrived.
 void
-CheckInterrupted(lua_State* aLua, lua_Debug*)
+RaiseErrorIfInterrupted(lua_State* aLua, lua_Debug*)
 {
   if (sInterrupted) {
     luaL_error(aLua, "interrupted or over its time limit");
   }
 }
 
+/// @return the path of each program by its name
 std::map<std::string, std::string>
 ReadPrograms(const char* aPath)
 {
@@ -53,19 +60,21 @@
   return programs;
 }
 
+/// Message handler of lua_pcall() that appends a stack traceback.
 int
-WithTraceback(lua_State* aLua)
+AppendTraceback(lua_State* aLua)
 {
   luaL_traceback(aLua, aLua, lua_tostring(aLua, 1), 1);
   return 1;
 }
 
+/// Runs a Lua file and prints the error if it fails.
 /// @return whether the file ran without an error
 bool
 RunFile(lua_State* aLua, const char* aPath)
 {
   lua_settop(aLua, 0);
-  lua_pushcfunction(aLua, WithTraceback);
+  lua_pushcfunction(aLua, AppendTraceback);
   if (luaL_loadfile(aLua, aPath) == LUA_OK &&
       lua_pcall(aLua, 0, 0, 1) == LUA_OK) {
     return true;
@@ -74,24 +83,29 @@
   return false;
 }
 
-/// Prints the last lines of every process's log, for a failed scenario.
+/// Prints the end of the standard error of every process, so that a failed
+/// scenario can be diagnosed.
 void
-PrintLogs(const std::string& aDirectory)
+PrintLogTails(const std::string& aDirectory)
 {
-  constexpr std::size_t kTail = 2000;
+  constexpr std::size_t kPrintedLogBytes = 2000;
   for (const auto& entry : std::filesystem::directory_iterator(aDirectory)) {
     if (entry.path().extension() != ".err") {
       continue;
     }
     std::ifstream file(entry.path());
     std::string text((std::istreambuf_iterator<char>(file)), {});
-    if (text.size() > kTail) {
-      text = text.substr(text.size() - kTail);
+    if (text.size() > kPrintedLogBytes) {
+      text = text.substr(text.size() - kPrintedLogBytes);
     }
     std::printf("--- %s\n%s\n", entry.path().filename().c_str(), text.c_str());
   }
 }
 
+/// Runs the vocabulary and then the script in one Lua state.
+/// @param aArguments the command line of this program
+/// @param aDirectory receives the files and the output of the processes
+/// @return whether both ran without an error
 bool
 RunScenario(char** aArguments, const std::string& aDirectory)
 {
@@ -101,8 +115,11 @@
                                                              lua_close);
   luaL_openlibs(lua.get());
   RegisterPrimitives(lua.get(), context);
-  constexpr int kInstructions = 1000;
-  lua_sethook(lua.get(), CheckInterrupted, LUA_MASKCOUNT, kInstructions);
+  constexpr int kInstructionsPerInterruptCheck = 1000;
+  lua_sethook(lua.get(),
+              RaiseErrorIfInterrupted,
+              LUA_MASKCOUNT,
+              kInstructionsPerInterruptCheck);
   return RunFile(lua.get(), aArguments[2]) && RunFile(lua.get(), aArguments[3]);
 }
 
@@ -115,10 +132,10 @@
     std::fprintf(stderr, "usage: run-scenario PROGRAMS VOCABULARY SCRIPT\n");
     return 2;
   }
-  signal(SIGTERM, Interrupt);
-  signal(SIGINT, Interrupt);
-  signal(SIGALRM, Interrupt);
-  alarm(kLimitSeconds);
+  signal(SIGTERM, RequestInterrupt);
+  signal(SIGINT, RequestInterrupt);
+  signal(SIGALRM, RequestInterrupt);
+  alarm(kTimeLimitSeconds);
   std::string directory =
     (std::filesystem::temp_directory_path() / "scenario-XXXXXX").string();
   if (mkdtemp(directory.data()) == nullptr) {
@@ -127,7 +144,7 @@
   }
   const bool passed = RunScenario(aArguments, directory);
   if (!passed) {
-    PrintLogs(directory);
+    PrintLogTails(directory);
   }
   std::filesystem::remove_all(directory);
   return passed ? 0 : 1;
--- a/Tests/Scenarios/Primitives.cpp
+++ b/Tests/Scenarios/Primitives.cpp
@@ -10,23 +10,27 @@
 #include <LibRpc/RpcClient.h>
 #include <Scenarios/LuaJson.h>
 
-// NOTE: Lua reports errors by longjmp, which skips destructors. The functions
-// here check their arguments before they create an object, and return failures
-// as values.
+// NOTE: Lua raises errors by longjmp, which skips C++ destructors. Functions
+// in this file therefore check their argument types before they create any
+// object, and return failures as values instead of raising errors.
 
 namespace paddle {
 
 namespace {
 
+/// Time limit of a call for which the script gives none.
 constexpr Millis kDefaultTimeout{ 10000 };
 
+/// @return the context that RegisterPrimitives() bound to the called function
 ScenarioContext&
-ContextOf(lua_State* aLua)
+ScenarioContextOf(lua_State* aLua)
 {
   return *static_cast<ScenarioContext*>(
     lua_touserdata(aLua, lua_upvalueindex(1)));
 }
 
+/// Pushes nil and an error message.
+/// @return the number of pushed values
 int
 PushFailure(lua_State* aLua, const std::string& aMessage)
 {
@@ -35,16 +39,20 @@
   return 2;
 }
 
+/// @return the string at stack index @p aIndex; empty if it is not a string or
+///         number
 std::string
-TextAt(lua_State* aLua, int aIndex)
+StringAt(lua_State* aLua, int aIndex)
 {
   std::size_t size = 0;
   const char* text = lua_tolstring(aLua, aIndex, &size);
   return text == nullptr ? std::string() : std::string(text, size);
 }
 
+/// @return the number of seconds at stack index @p aIndex as a duration;
+///         @p aDefault if there is no number
 Millis
-SecondsAt(lua_State* aLua, int aIndex, Millis aDefault)
+DurationAt(lua_State* aLua, int aIndex, Millis aDefault)
 {
   if (lua_isnumber(aLua, aIndex) == 0) {
     return aDefault;
@@ -52,13 +60,14 @@
   return Millis(static_cast<Millis::rep>(lua_tonumber(aLua, aIndex) * 1000));
 }
 
+/// Starts a program as a child process.
 /// spawn(name, program, {argument...}) -> process id
 int
 Spawn(lua_State* aLua)
 {
   luaL_checktype(aLua, 3, LUA_TTABLE);
-  ScenarioContext& context = ContextOf(aLua);
-  const std::string program = TextAt(aLua, 2);
+  ScenarioContext& context = ScenarioContextOf(aLua);
+  const std::string program = StringAt(aLua, 2);
   const auto path = context.mPrograms.find(program);
   if (path == context.mPrograms.end()) {
     return PushFailure(aLua, program + " is not built");
@@ -68,7 +77,7 @@
     arguments.push_back(argument.asString());
   }
   const auto pid =
-    context.mProcesses.Start(TextAt(aLua, 1), path->second, arguments);
+    context.mProcesses.Start(StringAt(aLua, 1), path->second, arguments);
   if (!Succeeded(pid)) {
     return PushFailure(aLua, ErrorOf(pid).mMessage);
   }
@@ -76,6 +85,7 @@
   return 1;
 }
 
+/// Sends a signal to a process.
 /// signal(name, "TERM" | "KILL" | "STOP" | "CONT") -> true
 int
 Signal(lua_State* aLua)
@@ -84,12 +94,12 @@
                                             { "KILL", SIGKILL },
                                             { "STOP", SIGSTOP },
                                             { "CONT", SIGCONT } };
-  const auto signal = signals.find(TextAt(aLua, 2));
+  const auto signal = signals.find(StringAt(aLua, 2));
   if (signal == signals.end()) {
     return PushFailure(aLua, "unknown signal");
   }
-  const auto sent =
-    ContextOf(aLua).mProcesses.Signal(TextAt(aLua, 1), signal->second);
+  const auto sent = ScenarioContextOf(aLua).mProcesses.Signal(StringAt(aLua, 1),
+                                                              signal->second);
   if (!Succeeded(sent)) {
     return PushFailure(aLua, ErrorOf(sent).mMessage);
   }
@@ -97,33 +107,37 @@
   return 1;
 }
 
-/// wait_exit(name, seconds) -> exit code, or nil if it still runs
+/// Waits until a process has ended.
+/// wait_exit(name, seconds) -> exit code, or nil if the process still runs
 int
 WaitExit(lua_State* aLua)
 {
-  const auto code = ContextOf(aLua).mProcesses.Wait(
-    TextAt(aLua, 1), SecondsAt(aLua, 2, kDefaultTimeout));
+  const auto code = ScenarioContextOf(aLua).mProcesses.Wait(
+    StringAt(aLua, 1), DurationAt(aLua, 2, kDefaultTimeout));
   if (!code) {
-    return PushFailure(aLua, TextAt(aLua, 1) + " still runs");
+    return PushFailure(aLua, StringAt(aLua, 1) + " still runs");
   }
   lua_pushinteger(aLua, *code);
   return 1;
 }
 
-/// output(name) -> standard output so far
+/// Reads the output of a process.
+/// output(name) -> what it has written to its standard output so far
 int
 Output(lua_State* aLua)
 {
-  const std::string text = ContextOf(aLua).mProcesses.Output(TextAt(aLua, 1));
+  const std::string text =
+    ScenarioContextOf(aLua).mProcesses.Output(StringAt(aLua, 1));
   lua_pushlstring(aLua, text.data(), text.size());
   return 1;
 }
 
+/// Calls an RPC method over a fresh connection.
 /// rpc("IP:PORT", method, parameters, seconds) -> result
 int
 Rpc(lua_State* aLua)
 {
-  const auto endpoint = ParseEndpoint(TextAt(aLua, 1));
+  const auto endpoint = ParseEndpoint(StringAt(aLua, 1));
   if (!Succeeded(endpoint)) {
     return PushFailure(aLua, ErrorOf(endpoint).mMessage);
   }
@@ -131,11 +145,11 @@
   if (parameters.isNull()) {
     parameters = Json::objectValue;
   }
-  const auto result = CallRpc(ContextOf(aLua).mClient,
+  const auto result = CallRpc(ScenarioContextOf(aLua).mClient,
                               ValueOf(endpoint),
-                              TextAt(aLua, 2),
+                              StringAt(aLua, 2),
                               parameters,
-                              SecondsAt(aLua, 4, kDefaultTimeout),
+                              DurationAt(aLua, 4, kDefaultTimeout),
                               ConnectionUse::Fresh);
   if (!Succeeded(result)) {
     return PushFailure(aLua, ErrorOf(result).mMessage);
@@ -144,28 +158,29 @@
   return 1;
 }
 
+/// Sends an HTTP request over a fresh connection.
 /// http("IP:PORT", method, path, headers, body, seconds)
 /// -> {status, headers, body}
 int
 Http(lua_State* aLua)
 {
-  const auto endpoint = ParseEndpoint(TextAt(aLua, 1));
+  const auto endpoint = ParseEndpoint(StringAt(aLua, 1));
   if (!Succeeded(endpoint)) {
     return PushFailure(aLua, ErrorOf(endpoint).mMessage);
   }
   HttpRequest request;
-  request.mMethod = TextAt(aLua, 2);
-  request.mPath = TextAt(aLua, 3);
+  request.mMethod = StringAt(aLua, 2);
+  request.mPath = StringAt(aLua, 3);
   const Json::Value headers = JsonAt(aLua, 4);
   for (const std::string& name : headers.getMemberNames()) {
     request.mHeaders.emplace_back(name, headers[name].asString());
   }
-  request.mBody = TextAt(aLua, 5);
-  const auto reply =
-    ContextOf(aLua).mClient.Execute(ValueOf(endpoint),
-                                    request,
-                                    SecondsAt(aLua, 6, kDefaultTimeout),
-                                    ConnectionUse::Fresh);
+  request.mBody = StringAt(aLua, 5);
+  const auto reply = ScenarioContextOf(aLua).mClient.Execute(
+    ValueOf(endpoint),
+    request,
+    DurationAt(aLua, 6, kDefaultTimeout),
+    ConnectionUse::Fresh);
   if (!Succeeded(reply)) {
     return PushFailure(aLua, ErrorOf(reply).mMessage);
   }
@@ -180,6 +195,7 @@
   return 1;
 }
 
+/// Serializes a Lua value as JSON.
 /// json(value) -> text
 int
 ToJsonText(lua_State* aLua)
@@ -189,13 +205,15 @@
   return 1;
 }
 
-/// write_file(name, text) -> path in the scenario's directory
+/// Writes a file into the scenario's directory and replaces an existing one.
+/// write_file(name, text) -> path of the file
 int
 WriteFile(lua_State* aLua)
 {
-  const std::string path = ContextOf(aLua).mDirectory + "/" + TextAt(aLua, 1);
+  const std::string path =
+    ScenarioContextOf(aLua).mDirectory + "/" + StringAt(aLua, 1);
   std::ofstream file(path, std::ios::trunc);
-  file << TextAt(aLua, 2);
+  file << StringAt(aLua, 2);
   file.close();
   if (!file) {
     return PushFailure(aLua, "can't write " + path);
@@ -204,7 +222,8 @@
   return 1;
 }
 
-/// now() -> seconds on the monotonic clock
+/// Reads the monotonic clock.
+/// now() -> seconds
 int
 Now(lua_State* aLua)
 {
@@ -214,19 +233,21 @@
   return 1;
 }
 
+/// Blocks the script for a time.
 /// sleep(seconds)
 int
 Sleep(lua_State* aLua)
 {
-  std::this_thread::sleep_for(SecondsAt(aLua, 1, Millis(0)));
+  std::this_thread::sleep_for(DurationAt(aLua, 1, Millis(0)));
   return 0;
 }
 
+/// Prints a line to the standard output of the scenario.
 /// log(text)
 int
 LogText(lua_State* aLua)
 {
-  std::printf("%s\n", TextAt(aLua, 1).c_str());
+  std::printf("%s\n", StringAt(aLua, 1).c_str());
   std::fflush(stdout);
   return 0;
 }
--- a/Tests/Scenarios/Primitives.h
+++ b/Tests/Scenarios/Primitives.h
@@ -9,7 +9,7 @@
 
 namespace paddle {
 
-/// What the functions of a scenario script act on.
+/// State of one scenario run, shared by all functions that scripts call.
 struct ScenarioContext
 {
   explicit ScenarioContext(const std::string& aDirectory)
@@ -18,16 +18,17 @@
   {
   }
 
-  std::string mDirectory;                       ///< Of files and output.
-  std::map<std::string, std::string> mPrograms; ///< Path by name.
+  std::string mDirectory; ///< Holds files and process output.
+  std::map<std::string, std::string> mPrograms; ///< Program paths by name.
   Processes mProcesses;
   HttpClient mClient{ {} };
 };
 
-/// Registers the functions that Vocabulary.lua builds upon, in the global
+/// Registers the functions that Vocabulary.lua builds upon in the global Lua
 /// table "primitive": spawn, signal, wait_exit, output, rpc, http, json,
-/// write_file, now, sleep, log. A function that fails returns
-/// nil and a message.
+/// write_file, now, sleep, log. A function that fails returns nil and an error
+/// message.
+/// @param aContext must outlive the Lua state
 void
 RegisterPrimitives(lua_State* aLua, ScenarioContext& aContext);
 
--- a/Tests/Scenarios/Processes.cpp
+++ b/Tests/Scenarios/Processes.cpp
@@ -17,9 +17,13 @@
 
 namespace {
 
-constexpr Millis kPoll{ 5 };
+/// Interval at which Wait() checks whether a process has ended.
+constexpr Millis kExitPollInterval{ 5 };
+/// Permissions of the output files.
 constexpr mode_t kOutputMode = 0644;
 
+/// @param aWhat the operation that failed
+/// @param aCode the errno value
 Error
 SystemError(const std::string& aWhat, int aCode)
 {
@@ -36,8 +40,8 @@
 Processes::~Processes()
 {
   for (auto& [name, child] : mChildren) {
-    Reap(child);
-    if (!child.mExit) {
+    CollectExitStatus(child);
+    if (!child.mExitStatus) {
       kill(child.mPid, SIGKILL);
       waitpid(child.mPid, nullptr, 0);
     }
@@ -80,11 +84,12 @@
 }
 
 void
-Processes::Reap(Child& aChild)
+Processes::CollectExitStatus(Child& aChild)
 {
   int status = 0;
-  if (!aChild.mExit && waitpid(aChild.mPid, &status, WNOHANG) == aChild.mPid) {
-    aChild.mExit =
+  if (!aChild.mExitStatus &&
+      waitpid(aChild.mPid, &status, WNOHANG) == aChild.mPid) {
+    aChild.mExitStatus =
       WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
   }
 }
@@ -96,8 +101,8 @@
   if (found == mChildren.end()) {
     return Error{ ErrorKind::NotFound, aName + " was never started" };
   }
-  Reap(found->second);
-  if (found->second.mExit) {
+  CollectExitStatus(found->second);
+  if (found->second.mExitStatus) {
     return Error{ ErrorKind::NotFound, aName + " has ended" };
   }
   if (kill(found->second.mPid, aSignal) != 0) {
@@ -115,11 +120,11 @@
   }
   const MonotonicTime end = std::chrono::steady_clock::now() + aLimit;
   for (;;) {
-    Reap(found->second);
-    if (found->second.mExit || std::chrono::steady_clock::now() >= end) {
-      return found->second.mExit;
+    CollectExitStatus(found->second);
+    if (found->second.mExitStatus || std::chrono::steady_clock::now() >= end) {
+      return found->second.mExitStatus;
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kExitPollInterval);
   }
 }
 
--- a/Tests/Scenarios/Scripts/GatewayDrained.lua
+++ b/Tests/Scenarios/Scripts/GatewayDrained.lua
@@ -1,5 +1,5 @@
--- Guarantee 9: a gateway that is asked to stop under load interrupts no
--- request in flight.
+-- Guards against a gateway that interrupts requests in flight when it is asked
+-- to stop under load (guarantee 9).
 -- needs: savorypaddle-gateway savorypaddle standin-platform standin-runner standin-caller
 deploy { block = 3, runners = 6, gateways = 3,
          runner_arguments = { "--service-ms", "50", "--watch-ms", "1500" } }
--- a/Tests/Scenarios/Scripts/KeyRepeatedElsewhere.lua
+++ b/Tests/Scenarios/Scripts/KeyRepeatedElsewhere.lua
@@ -1,5 +1,6 @@
--- Guarantee 7: an order whose gateway was killed while it ran is repeated with
--- the same key through another gateway and still runs once.
+-- Guards against an order that runs twice because its gateway was killed while
+-- it ran and the caller repeated it with the same idempotency key through
+-- another gateway (guarantee 7).
 -- needs: savorypaddle-gateway savorypaddle standin-platform standin-runner standin-caller
 deploy { block = 7, runners = 6, gateways = 3,
          runner_arguments = { "--service-ms", "150" } }
--- a/Tests/Scenarios/Scripts/RunnerLeaves.lua
+++ b/Tests/Scenarios/Scripts/RunnerLeaves.lua
@@ -1,5 +1,5 @@
--- Guarantee 8: a leaving runner receives no new work after 3 s, by its own
--- clock from the moment it began to leave.
+-- Guards against new requests to a leaving runner more than 3 s after it began
+-- to leave, by the runner's own clock (guarantee 8).
 -- needs: savorypaddle-gateway savorypaddle standin-platform standin-runner standin-caller
 deploy { block = 4, runners = 6, gateways = 3 }
 load { rate = 300, seconds = 12, seed = 14 }
--- a/Tests/Scenarios/Scripts/SchedulerKilled.lua
+++ b/Tests/Scenarios/Scripts/SchedulerKilled.lua
@@ -1,5 +1,6 @@
--- Guarantees 1, 2, 3: when a scheduler is killed while it starts jobs, every
--- accepted job still starts, none in two places, no worker beyond its capacity.
+-- Guards against accepted jobs that never start, jobs that run in two places,
+-- and workers beyond their capacity after a scheduler was killed while it
+-- started jobs (guarantees 1, 2 and 3).
 -- needs: savorypaddle-scheduler savorypaddle standin-platform standin-worker
 deploy { block = 8, workers = 6, schedulers = 3 }
 submit_jobs("first", 12, 30)
--- a/Tests/Scenarios/Scripts/StandInsSeeFaults.lua
+++ b/Tests/Scenarios/Scripts/StandInsSeeFaults.lua
@@ -1,9 +1,11 @@
--- The accounting that every other scenario relies on: the caller tells foreign
--- and cut answers from its own, and the runner sees keys that are run twice and
--- requests beyond its slots.
+-- Guards against stand-ins that miss a violation, which would let every other
+-- scenario pass wrongly. The caller must detect truncated answers and answers to
+-- other requests. The runner must detect keys that run twice, requests beyond
+-- its slots, and requests that arrive while it leaves.
 -- needs: standin-platform standin-runner standin-caller
 deploy { block = 0, runners = 2 }
 local seed = 0
+-- Injects a fault into 5 answers and returns the counts of a load beside it.
 local function seen(kind)
   seed = seed + 1
   fault("runners", { fault = kind, count = 5 })
@@ -17,7 +19,7 @@
 expect(seen("truncated").broken > 0, "a cut answer is told")
 expect(seen("closeAfterRead").broken > 0, "a closed connection is told")
 
--- The same seed sends the same keys once more.
+-- The same seed repeats the keys of the load before.
 load { direct = true, rate = 100, seconds = 1, seed = seed }
 local repeated = finish()
 expect(repeated.doubled > 0, "a key that is run twice is told")
--- a/Tests/Scenarios/Scripts/StoreOutage.lua
+++ b/Tests/Scenarios/Scripts/StoreOutage.lua
@@ -1,11 +1,11 @@
--- Guarantees 6, 7 and section 9: requests continue while the table service is
--- down, and the promises about them hold.
+-- Guards against gateways that stop serving requests, or break the guarantees
+-- about them, while the table service is down (guarantees 6 and 7, section 9).
 -- needs: savorypaddle-gateway savorypaddle standin-platform standin-runner standin-caller
 deploy { block = 5, runners = 6, gateways = 3 }
 load { rate = 200, seconds = 20, seed = 15 }
 sleep(3)
 outage(true)
-sleep(10) -- Three terms of a session.
+sleep(10) -- Three lease terms of a session.
 local before = runner_stats().all.total
 sleep(2)
 local after = runner_stats().all.total
--- a/Tests/Scenarios/Vocabulary.lua
+++ b/Tests/Scenarios/Vocabulary.lua
@@ -1,20 +1,25 @@
--- The vocabulary of scenario scripts, on top of the functions in Primitives.h.
--- Conditions are waited for with generous limits; no step depends on how fast
--- the machine is. Every check asks the stand-ins, not savorypaddle.
+-- The functions that scenario scripts call, built upon the functions that
+-- Primitives.h registers. Scripts wait for conditions with generous time limits,
+-- so that no step depends on the speed of the machine. Every check reads the
+-- statistics of the stand-ins (test programs that play the platform, the
+-- runners, the workers and the callers), not what savorypaddle says of itself.
 
 log = primitive.log
 now = primitive.now
 sleep = primitive.sleep
 
-local kLimit = 30 -- seconds
+local kLimit = 30 -- Default time limit of a wait, in seconds.
 
--- Raises an error unless a condition holds.
+-- Raises an error unless the condition holds. The message says what was
+-- expected.
 function expect(condition, message)
   if not condition then
     error("expected: " .. message, 2)
   end
 end
 
+-- Raises an error unless both values are equal.
+-- what: says what was compared.
 function expect_equal(wanted, got, what)
   if wanted ~= got then
     error(("%s: expected %s, got %s"):format(
@@ -22,7 +27,8 @@
   end
 end
 
--- Calls a function until it returns a true value, and returns that.
+-- Calls the function condition until it returns a true value, and returns that
+-- value. Raises an error when the limit (seconds, default kLimit) has passed.
 function wait_until(what, condition, limit)
   local last = now() + (limit or kLimit)
   repeat
@@ -33,6 +39,7 @@
   error("gave up waiting until " .. what, 2)
 end
 
+-- Returns the value, or raises an error with the message if it is nil.
 local function must(value, message)
   if value == nil then error(message, 3) end
   return value
@@ -40,29 +47,33 @@
 
 -- Processes ---------------------------------------------------------------
 
-local started = {} -- program and arguments by name
+local started = {} -- Program and arguments of each process by name.
 
+-- Starts a program as a process with the given name.
 function start(name, program, arguments)
   started[name] = { program = program, arguments = arguments }
   must(primitive.spawn(name, program, arguments))
 end
 
--- Starts a process again after it has ended.
+-- Starts a process that has ended once more, with the same arguments.
 function restart(name)
   local process = started[name]
   must(primitive.spawn(name, process.program, process.arguments))
 end
 
+-- Kills a process and waits until it has ended.
 function kill(name)
   must(primitive.signal(name, "KILL"))
   must(primitive.wait_exit(name, kLimit))
 end
 
+-- freeze suspends a process, thaw lets it continue, and terminate asks it to
+-- stop without waiting for that.
 function freeze(name) must(primitive.signal(name, "STOP")) end
 function thaw(name) must(primitive.signal(name, "CONT")) end
 function terminate(name) must(primitive.signal(name, "TERM")) end
 
--- Asks a process to stop and returns its exit code.
+-- Asks a process to stop, waits until it has ended and returns its exit code.
 function stop(name)
   terminate(name)
   return must(primitive.wait_exit(name, 90))
@@ -70,15 +81,18 @@
 
 -- Deployment --------------------------------------------------------------
 
+-- Addresses of the processes that deploy() started.
 local deployment = {}
 
--- Two runs on one machine at the same time need different ports.
+-- Two runs at the same time on one machine need different ports.
 local kFirstPort = tonumber(os.getenv("SCENARIO_FIRST_PORT") or 22000)
 
+-- Writes a value as a JSON file and returns its path.
 local function write_json(name, value)
   return must(primitive.write_file(name, primitive.json(value)))
 end
 
+-- Service document of the only service, "desk".
 local kService = [[{
   "service": "desk", "team": "desk",
   "slotsPerRunner": 8, "connectionsPerRunner": 64, "watchSlotsPerRunner": 2,
@@ -93,6 +107,8 @@
   "evictionsPerHour": 60
 }]]
 
+-- Writes the host list of the deployment and returns the path of the file.
+-- Workers alternate between the two data centres.
 local function write_hosts(options)
   local hosts = {}
   for i = 1, options.runners or 0 do
@@ -111,6 +127,8 @@
   return write_json("hosts.json", { hosts = hosts })
 end
 
+-- Starts count processes ROLE-1 to ROLE-COUNT of one program, each with a
+-- settings file of its own.
 local function start_daemons(role, program, count, addresses)
   for i = 1, count or 0 do
     local name = role .. "-" .. i
@@ -126,6 +144,7 @@
   end
 end
 
+-- Returns count loopback addresses 127.NETWORK.0.I:PORT.
 local function addresses(count, network, port)
   local list = {}
   for i = 1, count or 0 do
@@ -134,9 +153,11 @@
   return list
 end
 
--- Starts the stand-ins, accepts the configuration and starts the daemons.
--- options: block (0 to 99; chooses the ports), runners, workers, gateways,
--- schedulers, runner_arguments, worker_arguments.
+-- Starts the stand-ins, submits the configuration, starts the gateways and the
+-- schedulers, and waits until every gateway answers. Returns the addresses.
+-- options: block (0 to 99; selects the ports, so every script has its own),
+-- runners, workers, gateways, schedulers (the number of each),
+-- runner_arguments, worker_arguments (further arguments of the stand-ins).
 function deploy(options)
   local port = kFirstPort + options.block * 10
   deployment = {
@@ -189,9 +210,10 @@
 
 -- The command line --------------------------------------------------------
 
-local commands = 0
+local commands = 0 -- Number of commands run so far, which numbers their names.
 
--- Runs the command line and returns its exit code and output.
+-- Runs the command-line program savorypaddle and returns its exit code and its
+-- output.
 function paddle(...)
   commands = commands + 1
   local name = "command-" .. commands
@@ -201,6 +223,8 @@
   return code, primitive.output(name)
 end
 
+-- Runs the command-line program, raises an error if it fails, and returns its
+-- output.
 local function must_paddle(...)
   local code, output = paddle(...)
   if code ~= 0 then
@@ -209,12 +233,13 @@
   return output
 end
 
--- Accepts a document or places file.
+-- Applies a configuration file: a service document or the list of data
+-- centres.
 function apply(name, text)
   return must_paddle("apply", must(primitive.write_file(name, text)))
 end
 
--- Takes a data centre out of service, and back.
+-- drain takes a data centre out of service; return_ puts it back into service.
 function drain(data_centre)
   return must_paddle("drain", data_centre, "--why", "scenario")
 end
@@ -223,8 +248,9 @@
   return must_paddle("return", data_centre, "--why", "scenario")
 end
 
--- Submits a job given as a table. A scheduler that has just started may refuse
--- at first; a repeated submit of the same job changes nothing.
+-- Submits a job given as a table, and repeats that until it is accepted: a
+-- scheduler that has just started may refuse jobs. A repeated submission of the
+-- same job has no effect.
 function submit(job)
   local file = write_json(job.job .. ".jsonc", job)
   wait_until("job " .. job.job .. " is accepted", function()
@@ -232,7 +258,8 @@
   end)
 end
 
--- Submits jobs PREFIX-1 to PREFIX-COUNT of one core each.
+-- Submits jobs PREFIX-1 to PREFIX-COUNT of one core each, which declare that
+-- they run for the given number of seconds.
 function submit_jobs(prefix, count, seconds)
   for i = 1, count do
     submit { job = prefix .. "-" .. i, team = "desk",
@@ -241,9 +268,10 @@
   end
 end
 
--- Faults and what the stand-ins saw ---------------------------------------
+-- Faults and statistics of the stand-ins ----------------------------------
 
--- fault("platform", {...}) or fault("runners", {...}), see standin.fault.
+-- Injects a fault into a stand-in: "platform", "workers" or "runners". The
+-- parameters are those of its RPC method standin.fault.
 function fault(name, parameters)
   local address = name == "platform" and deployment.platform
     or name == "workers" and deployment.workers[1]
@@ -251,22 +279,26 @@
   return must(primitive.rpc(address, "standin.fault", parameters))
 end
 
--- Begins or ends an outage of the table service.
+-- Begins (true) or ends (false) an outage of the table service.
 function outage(on)
   fault("platform", { outage = { on = on } })
 end
 
+-- Returns the statistics of the runner stand-in. keys: idempotency keys to
+-- report on.
 function runner_stats(keys)
   return must(primitive.rpc(
     deployment.runners[1], "standin.stats", { keys = keys or {} }))
 end
 
+-- Returns the statistics of the worker stand-in, with every job.
 function worker_stats()
   return must(primitive.rpc(
     deployment.workers[1], "standin.stats", { jobs = true }))
 end
 
--- What holds for all work on the workers.
+-- Checks the guarantees that hold for all tasks, by the statistics of the
+-- workers.
 function expect_task_guarantees(stats)
   expect_equal(0, stats.capacityViolations, "starts beyond a capacity")
   expect_equal(0, stats.twoPlaces, "jobs in two places at once")
@@ -275,7 +307,8 @@
   expect_equal(0, stats.oldCheckpoints, "starts from a superseded checkpoint")
 end
 
--- Whether each job PREFIX-1 to PREFIX-COUNT has started, as the workers saw.
+-- Returns whether each of the jobs PREFIX-1 to PREFIX-COUNT has started, by the
+-- statistics of the workers.
 function all_started(prefix, count)
   local jobs = worker_stats().jobs or {}
   for i = 1, count do
@@ -284,11 +317,13 @@
   return true
 end
 
+-- Returns the statistics of the platform stand-in.
 function platform_stats()
   return must(primitive.rpc(deployment.platform, "standin.stats", {}))
 end
 
--- A runner begins to leave: its own clock and the host list say so.
+-- Makes runner i leave: the runner records the time by its own clock, and the
+-- host list shows its state as leaving.
 function runner_leaves(i)
   fault("runners", { runner = "runner-" .. i, fault = "leaving" })
   fault("platform", { host = { name = "runner-" .. i, state = "leaving" } })
@@ -296,8 +331,9 @@
 
 -- Requests ----------------------------------------------------------------
 
--- Sends one request: gateway, path, method, key, body. Returns
--- {status, headers, body}, or nil and why.
+-- Sends one request through a gateway. request: gateway (number, default 1),
+-- path, method (default GET), key (idempotency key), body. Returns {status,
+-- headers, body}, or nil and an error message.
 function call(request)
   local headers = { ["Paddle-Customer"] = "grower" }
   if request.key then headers["Idempotency-Key"] = request.key end
@@ -306,8 +342,10 @@
     request.body or "", 10)
 end
 
--- Starts a load in the background: name, gateways (list of numbers; default
--- all), direct (straight to the runners), rate, seconds, seed, mix, retries.
+-- Starts a load generator in the background. options: name, gateways (list of
+-- numbers; default all), direct (true: call the runners without a gateway),
+-- rate (calls per second), seconds, seed, mix (shares of orders, reads and
+-- watches), retries.
 function load(options)
   local name = options.name or "load"
   local targets = {}
@@ -327,12 +365,13 @@
     "--seed", tostring(options.seed or 1), "--name", name,
     "--mix", options.mix or "orders=50,reads=50",
     "--retries", tostring(options.retries or 0),
-    -- Longer than the longest watch.
+    -- The time-out of a call exceeds the longest watch (10 s).
     "--patience-ms", "12000",
     "--account", deployment.runners[1] })
 end
 
--- Waits until a load has ended and returns its counts.
+-- Waits until a load generator has ended and returns its counts by name, with
+-- its exit code as "exit".
 function finish(name)
   name = name or "load"
   local code = must(primitive.wait_exit(name, 120))
@@ -346,8 +385,9 @@
   return counts
 end
 
--- What holds for every load: nothing lost, no true run called refused, no
--- doubled order, no foreign or cut answer, no runner beyond its limits.
+-- Checks the guarantees that hold for every load: no acknowledged order is lost,
+-- no order reported as refused has run, no order runs twice, no caller receives
+-- the answer to another request, and no runner exceeds its limits.
 function expect_guarantees(counts)
   expect_equal(0, counts.lost, "orders answered but never run")
   expect_equal(0, counts.refused_run, "orders refused as not run, yet run")
