--- a/Tests/Bench/Cluster.cpp
+++ b/Tests/Bench/Cluster.cpp
@@ -8,25 +8,33 @@
 namespace {
 
 constexpr std::array<const char*, 3> kDataCentres{ "dc-1", "dc-2", "dc-3" };
-constexpr std::size_t kDataCentreTaken = 1;
+/// Index of the data centre that scenarios take out of service.
+constexpr std::size_t kDataCentreTakenOutIndex = 1;
+/// Start of the job name of a runner; its index follows.
 constexpr const char* kRunnerPrefix = "runner-";
-/// Reports show usage of this many polls ago.
+/// Number of the latest polls that are kept. A report shows the usage at the
+/// oldest of them, since real usage is measured with a delay.
 constexpr std::size_t kUsageLagPolls = 4;
 constexpr std::int64_t kRunnerMilliCores = 4000;
+/// Speed of a throttled task relative to its full speed.
 constexpr double kThrottledSpeed = 0.3;
-/// Latency may double before a service reports that its target is missed.
-constexpr double kTargetSlowdown = 2;
-constexpr std::size_t kStartsPerStep = 1000;
+/// A service reports that it misses its latency target when its latency has
+/// more than doubled.
+constexpr double kLatencyTargetSlowdown = 2;
+/// Most tasks that one step may start.
+constexpr std::size_t kMaxStartsPerStep = 1000;
 
+/// @return index of the data centre of a worker
 std::size_t
-DataCentreOf(std::size_t aMachine, const Deployment& aDeployment)
+DataCentreOf(std::size_t aWorker, const Deployment& aDeployment)
 {
-  // Whole racks, so that a data centre leaves with its racks.
-  return (aMachine / aDeployment.mRackSize) % kDataCentres.size();
+  // Each rack belongs to one data centre as a whole.
+  return (aWorker / aDeployment.mWorkersPerRack) % kDataCentres.size();
 }
 
+/// @return the number of cores in @p aAmount
 double
-CoreShare(const Amount& aAmount)
+CoresOf(const Amount& aAmount)
 {
   return static_cast<double>(aAmount.mMilliCores) / 1000;
 }
@@ -40,61 +48,73 @@
   : mDeployment(aDeployment)
   , mScenario(aScenario)
   , mJobs(aJobs)
-  , mShard(MakeShard(PlacementSettings{}, aPolicy, History::None, kEpoch))
-  , mMachines(aDeployment.mWorkers)
-  , mRunnerMachine(aDeployment.mRunners)
-  , mBusy(aDeployment.mRunners)
+  , mShard(
+      MakeShard(PlacementSettings{}, aPolicy, History::None, kVirtualStart))
+  , mSimulatedWorkers(aDeployment.mWorkerCount)
+  , mWorkerOfRunner(aDeployment.mRunnerCount)
+  , mBusyShares(aDeployment.mRunnerCount)
 {
-  for (std::size_t i = 0; i < mMachines.size(); ++i) {
+  for (std::size_t i = 0; i < mSimulatedWorkers.size(); ++i) {
     WorkerSpec spec;
     spec.mName = "w" + std::to_string(i);
     spec.mDataCentre = kDataCentres[DataCentreOf(i, aDeployment)];
-    spec.mRack = "r" + std::to_string(i / aDeployment.mRackSize);
-    spec.mCapacity = { aDeployment.mCores * 1000, aDeployment.mMemoryMb, 0 };
+    spec.mRack = "r" + std::to_string(i / aDeployment.mWorkersPerRack);
+    spec.mCapacity = { aDeployment.mCoresPerWorker * 1000,
+                       aDeployment.mMemoryMbPerWorker,
+                       0 };
     SetWorker(mShard, spec);
-    // Spread over the racks, so that no single data centre has all of them.
-    mMachines[i].mFailsAll =
-      i % (mMachines.size() / (aScenario.mBadWorkers + 1)) == 1 &&
-      aScenario.mBadWorkers > 0;
-  }
-  const Amount quota{
-    aDeployment.mCores * 1000 * static_cast<std::int64_t>(aDeployment.mWorkers),
-    aDeployment.mMemoryMb * static_cast<std::int64_t>(aDeployment.mWorkers),
-    0
-  };
+    // Failing workers are spread over the racks, so that they are not all in
+    // one data centre.
+    mSimulatedWorkers[i].mFailsAllTasks =
+      i % (mSimulatedWorkers.size() / (aScenario.mFailingWorkerCount + 1)) ==
+        1 &&
+      aScenario.mFailingWorkerCount > 0;
+  }
+  const Amount quota{ aDeployment.mCoresPerWorker * 1000 *
+                        static_cast<std::int64_t>(aDeployment.mWorkerCount),
+                      aDeployment.mMemoryMbPerWorker *
+                        static_cast<std::int64_t>(aDeployment.mWorkerCount),
+                      0 };
   for (int team = 0; team < 4; ++team) {
-    SetTeam(mShard, "team-" + std::to_string(team), quota, 600, kEpoch);
+    SetTeam(mShard, "team-" + std::to_string(team), quota, 600, kVirtualStart);
   }
-  SetTeam(mShard, "desk", quota, 600, kEpoch);
+  SetTeam(mShard, "desk", quota, 600, kVirtualStart);
   for (const BenchJob& job : mJobs) {
-    mByName[job.mSpec.mJob] = &job;
+    mJobsByName[job.mSpec.mJob] = &job;
   }
 }
 
 bool
-Cluster::DataCentreIn(std::size_t aMachine) const
+Cluster::DataCentreInService(std::size_t aWorker) const
 {
-  return DataCentreOf(aMachine, mDeployment) != kDataCentreTaken ||
-         !mScenario.mDataCentreOut.Contains(mNowS);
+  return DataCentreOf(aWorker, mDeployment) != kDataCentreTakenOutIndex ||
+         !mScenario.mDataCentreOutOfService.Contains(mNowS);
 }
 
 void
-Cluster::RefreshDataCentres()
+Cluster::SyncWithTableService()
 {
   if (mScenario.mStoreOutage.Contains(mNowS)) {
     return;
   }
   for (std::size_t i = 0; i < kDataCentres.size(); ++i) {
-    const bool out =
-      i == kDataCentreTaken && mScenario.mDataCentreOut.Contains(mNowS);
-    SetDataCentre(mShard, kDataCentres[i], !out, At(mNowS), At(mNowS));
-  }
-  while (!mUncommitted.empty()) {
-    const CommitRow row = mUncommitted.front();
-    mUncommitted.pop_front();
+    const bool out = i == kDataCentreTakenOutIndex &&
+                     mScenario.mDataCentreOutOfService.Contains(mNowS);
+    SetDataCentre(mShard,
+                  kDataCentres[i],
+                  !out,
+                  VirtualTimeAt(mNowS),
+                  VirtualTimeAt(mNowS));
+  }
+  while (!mUncommittedRows.empty()) {
+    const CommitRow row = mUncommittedRows.front();
+    mUncommittedRows.pop_front();
     Actions actions;
-    HandleCommitted(
-      mShard, row.mRow.mSpec.mJob, row.mSequence, At(mNowS), actions);
+    HandleCommitted(mShard,
+                    row.mRow.mSpec.mJob,
+                    row.mSequence,
+                    VirtualTimeAt(mNowS),
+                    actions);
     Execute(std::move(actions));
   }
 }
@@ -104,47 +124,48 @@
 {
   Actions actions;
   if (mSteps == 2) {
-    for (std::size_t i = 0; i < mDeployment.mRunners; ++i) {
+    for (std::size_t i = 0; i < mDeployment.mRunnerCount; ++i) {
       JobSpec spec;
       spec.mJob = kRunnerPrefix + std::to_string(i);
       spec.mTeam = "desk";
       spec.mClass = TaskClass::Service;
       spec.mDeclared = { kRunnerMilliCores, 8000, 0 };
-      AcceptJob(mShard, spec, At(mNowS), actions);
+      AcceptJob(mShard, spec, VirtualTimeAt(mNowS), actions);
     }
   }
-  while (mNextJob < mJobs.size() && mJobs[mNextJob].mArrivesS <= mNowS) {
-    AcceptJob(mShard, mJobs[mNextJob].mSpec, At(mNowS), actions);
+  while (mNextJob < mJobs.size() && mJobs[mNextJob].mArrivalS <= mNowS) {
+    AcceptJob(mShard, mJobs[mNextJob].mSpec, VirtualTimeAt(mNowS), actions);
     ++mNextJob;
   }
   Execute(std::move(actions));
 }
 
 void
-Cluster::CancelSome()
+Cluster::CancelWaveJobs()
 {
-  const bool due = mScenario.mCancelAtS > 0 && mNowS >= mScenario.mCancelAtS &&
-                   mNowS < mScenario.mCancelAtS + kStepS;
+  const bool due = mScenario.mCancellationAtS > 0 &&
+                   mNowS >= mScenario.mCancellationAtS &&
+                   mNowS < mScenario.mCancellationAtS + kStepS;
   if (!due) {
     return;
   }
   Actions actions;
   for (const BenchJob& job : mJobs) {
-    if (job.mCancelled) {
-      CancelJob(mShard, job.mSpec.mJob, At(mNowS), actions);
+    if (job.mInCancellationWave) {
+      CancelJob(mShard, job.mSpec.mJob, VirtualTimeAt(mNowS), actions);
     }
   }
   Execute(std::move(actions));
 }
 
 Amount
-Cluster::UseOf(const Task& aTask) const
+Cluster::UsageOf(const Task& aTask) const
 {
   if (aTask.mRunner) {
-    const double busy = 0.1 + 0.9 * mBusy[*aTask.mRunner];
+    const double busy = 0.1 + 0.9 * mBusyShares[*aTask.mRunner];
     return { static_cast<std::int64_t>(kRunnerMilliCores * busy), 8000, 0 };
   }
-  Amount use = aTask.mJob->mUse;
+  Amount use = aTask.mJob->mTrueUse;
   if (aTask.mThrottled) {
     use.mMilliCores = static_cast<std::int64_t>(
       static_cast<double>(use.mMilliCores) * kThrottledSpeed);
@@ -153,31 +174,32 @@
 }
 
 double
-Cluster::CoresForBatch(const Machine& aMachine) const
+Cluster::CoresForBatch(const SimulatedWorker& aWorker) const
 {
-  auto cores = static_cast<double>(mDeployment.mCores);
-  for (const Task& task : aMachine.mTasks) {
-    cores -= task.mRunner ? CoreShare(task.mReserved) : 0;
+  auto cores = static_cast<double>(mDeployment.mCoresPerWorker);
+  for (const Task& task : aWorker.mTasks) {
+    cores -= task.mRunner ? CoresOf(task.mReserved) : 0;
   }
   return cores;
 }
 
 void
-Cluster::Measure(std::size_t aMachine)
+Cluster::UpdateInterference(std::size_t aWorker)
 {
-  Machine& machine = mMachines[aMachine];
-  const auto cores = static_cast<double>(mDeployment.mCores);
+  SimulatedWorker& worker = mSimulatedWorkers[aWorker];
+  const auto cores = static_cast<double>(mDeployment.mCoresPerWorker);
   double used = 0;
   double noise = 0;
-  for (const Task& task : machine.mTasks) {
-    const double share = CoreShare(UseOf(task)) / cores;
+  for (const Task& task : worker.mTasks) {
+    const double share = CoresOf(UsageOf(task)) / cores;
     used += share;
-    noise += task.mJob ? share * task.mJob->mNoise : 0;
+    noise += task.mJob ? share * task.mJob->mNoisyShare : 0;
   }
-  machine.mContention = used;
-  // Queueing for processors beyond 80% use, and shared caches and memory
-  // bandwidth, which suffer with the square of the noisy share.
-  machine.mSlowdown =
+  worker.mUtilization = used;
+  // Requests queue for processors when more than 80% of the cores are used.
+  // Contention for caches and memory bandwidth grows with the square of the
+  // noisy share.
+  worker.mSlowdown =
     std::min(12.0, 1 + std::max(0.0, used - 0.8) * 4 + 6 * noise * noise);
 }
 
@@ -185,45 +207,47 @@
 Cluster::CountProgress(double aCoreS)
 {
   mResult.mBatchCoreS += aCoreS;
-  if (mScenario.mDataCentreOut.Contains(mNowS)) {
-    mResult.mOutCoreS += aCoreS;
+  if (mScenario.mDataCentreOutOfService.Contains(mNowS)) {
+    mResult.mOutOfServiceBatchCoreS += aCoreS;
   }
 }
 
 void
-Cluster::Finish(Machine& aMachine, std::size_t aTask, TaskResult aResult)
+Cluster::FinishTask(SimulatedWorker& aWorker,
+                    std::size_t aTask,
+                    TaskResult aResult)
 {
-  const Task task = aMachine.mTasks[aTask];
-  aMachine.mTasks.erase(aMachine.mTasks.begin() +
-                        static_cast<std::ptrdiff_t>(aTask));
+  const Task task = aWorker.mTasks[aTask];
+  aWorker.mTasks.erase(aWorker.mTasks.begin() +
+                       static_cast<std::ptrdiff_t>(aTask));
   TaskOutcome outcome{ task.mName, task.mAttempt, aResult, "", "exit 1" };
-  if (aResult != TaskResult::Ended && task.mSavedS > 0) {
+  if (aResult != TaskResult::Ended && task.mCheckpointedS > 0) {
     outcome.mCheckpoint = "checkpoint/" + task.mName;
-    mSavedS[task.mName] = task.mSavedS;
+    mCheckpointedS[task.mName] = task.mCheckpointedS;
   }
   if (task.mJob) {
-    // Progress after the latest checkpoint is lost unless the job ended.
+    // Progress since the latest checkpoint is lost, unless the job is complete.
     const double lost =
-      aResult == TaskResult::Ended ? 0 : task.mDoneS - task.mSavedS;
-    CountProgress(-lost * CoreShare(task.mJob->mUse));
+      aResult == TaskResult::Ended ? 0 : task.mProgressS - task.mCheckpointedS;
+    CountProgress(-lost * CoresOf(task.mJob->mTrueUse));
     mResult.mFinished += aResult == TaskResult::Ended ? 1 : 0;
   }
   if (task.mRunner) {
-    mRunnerMachine[*task.mRunner].reset();
+    mWorkerOfRunner[*task.mRunner].reset();
   }
   mRunningOn.erase(task.mName);
-  aMachine.mOutcomes.push_back(std::move(outcome));
+  aWorker.mOutcomes.push_back(std::move(outcome));
 }
 
 void
-Cluster::RunTasks(std::size_t aMachine)
+Cluster::RunTasks(std::size_t aWorker)
 {
-  Machine& machine = mMachines[aMachine];
-  const double speed = 1 / std::max(1.0, machine.mContention);
-  for (std::size_t i = machine.mTasks.size(); i-- > 0;) {
-    Task& task = machine.mTasks[i];
-    if (machine.mFailsAll) {
-      Finish(machine, i, TaskResult::Failed);
+  SimulatedWorker& worker = mSimulatedWorkers[aWorker];
+  const double speed = 1 / std::max(1.0, worker.mUtilization);
+  for (std::size_t i = worker.mTasks.size(); i-- > 0;) {
+    Task& task = worker.mTasks[i];
+    if (worker.mFailsAllTasks) {
+      FinishTask(worker, i, TaskResult::Failed);
       continue;
     }
     if (!task.mJob) {
@@ -231,79 +255,83 @@
     }
     const double progress =
       std::min(kStepS * speed * (task.mThrottled ? kThrottledSpeed : 1),
-               task.mJob->mWorkS - task.mDoneS);
-    task.mDoneS += progress;
-    CountProgress(progress * CoreShare(task.mJob->mUse));
-    if (task.mDoneS >= task.mJob->mWorkS) {
-      Finish(machine, i, TaskResult::Ended);
+               task.mJob->mTrueRunTimeS - task.mProgressS);
+    task.mProgressS += progress;
+    CountProgress(progress * CoresOf(task.mJob->mTrueUse));
+    if (task.mProgressS >= task.mJob->mTrueRunTimeS) {
+      FinishTask(worker, i, TaskResult::Ended);
     }
   }
 }
 
 std::vector<TaskReport>
-Cluster::ReportOf(const Machine& aMachine) const
+Cluster::TaskReportsOf(const SimulatedWorker& aWorker) const
 {
   std::vector<TaskReport> reports;
-  for (const Task& task : aMachine.mTasks) {
+  for (const Task& task : aWorker.mTasks) {
     TaskReport report;
     report.mJob = task.mName;
     report.mAttempt = task.mAttempt;
     report.mReserved = task.mReserved;
-    report.mUsed = UseOf(task);
-    report.mSinceCheckpoint =
-      Millis(static_cast<Millis::rep>((task.mDoneS - task.mSavedS) * 1000));
-    if (task.mSavedS > 0) {
+    report.mUsed = UsageOf(task);
+    report.mSinceCheckpoint = Millis(
+      static_cast<Millis::rep>((task.mProgressS - task.mCheckpointedS) * 1000));
+    if (task.mCheckpointedS > 0) {
       report.mCheckpoint =
-        "checkpoint/" + task.mName + "/" + std::to_string(task.mSavedS);
+        "checkpoint/" + task.mName + "/" + std::to_string(task.mCheckpointedS);
     }
     report.mLatencyRatio =
-      task.mRunner ? aMachine.mSlowdown / kTargetSlowdown : 0;
+      task.mRunner ? aWorker.mSlowdown / kLatencyTargetSlowdown : 0;
     reports.push_back(std::move(report));
   }
   return reports;
 }
 
 void
-Cluster::PollWorker(std::size_t aMachine)
+Cluster::PollWorker(std::size_t aWorker)
 {
-  Machine& machine = mMachines[aMachine];
-  const PollPlan plan = PlanPoll(mShard, static_cast<WorkerIndex>(aMachine));
+  SimulatedWorker& worker = mSimulatedWorkers[aWorker];
+  const PollPlan plan = PlanPoll(mShard, static_cast<WorkerIndex>(aWorker));
   for (const auto& acknowledged : plan.mAcknowledge) {
-    std::erase_if(machine.mOutcomes, [&](const TaskOutcome& aOutcome) {
+    std::erase_if(worker.mOutcomes, [&](const TaskOutcome& aOutcome) {
       return std::pair(aOutcome.mJob, aOutcome.mAttempt) == acknowledged;
     });
   }
-  machine.mPastReports.push_back(ReportOf(machine));
-  if (machine.mPastReports.size() > kUsageLagPolls) {
-    machine.mPastReports.pop_front();
+  worker.mPastReports.push_back(TaskReportsOf(worker));
+  if (worker.mPastReports.size() > kUsageLagPolls) {
+    worker.mPastReports.pop_front();
   }
-  // What runs is current; what it uses is seen late.
+  // The list of tasks is current, but their usage and latency are those of the
+  // oldest report kept.
   WorkerReport report;
   report.mToken = { 1, static_cast<std::uint64_t>(mNowS * 1000) + 1 };
-  report.mTasks = machine.mPastReports.back();
+  report.mTasks = worker.mPastReports.back();
   for (TaskReport& task : report.mTasks) {
     task.mUsed = {};
     task.mLatencyRatio = 0;
-    for (const TaskReport& past : machine.mPastReports.front()) {
+    for (const TaskReport& past : worker.mPastReports.front()) {
       if (past.mJob == task.mJob && past.mAttempt == task.mAttempt) {
         task.mUsed = past.mUsed;
         task.mLatencyRatio = past.mLatencyRatio;
       }
     }
   }
-  report.mOutcomes = machine.mOutcomes;
+  report.mOutcomes = worker.mOutcomes;
   Actions actions;
-  HandleReport(
-    mShard, static_cast<WorkerIndex>(aMachine), report, At(mNowS), actions);
+  HandleReport(mShard,
+               static_cast<WorkerIndex>(aWorker),
+               report,
+               VirtualTimeAt(mNowS),
+               actions);
   Execute(std::move(actions));
 }
 
 Cluster::Task*
-Cluster::FindTask(std::size_t aMachine,
+Cluster::FindTask(std::size_t aWorker,
                   const std::string& aJob,
                   std::uint32_t aAttempt)
 {
-  for (Task& task : mMachines[aMachine].mTasks) {
+  for (Task& task : mSimulatedWorkers[aWorker].mTasks) {
     if (task.mName == aJob && task.mAttempt == aAttempt) {
       return &task;
     }
@@ -312,18 +340,20 @@
 }
 
 void
-Cluster::Perform(const StartTask& aStart, Actions& aMore)
+Cluster::Perform(const StartTask& aStart, Actions& aFollowUpActions)
 {
-  Machine& machine = mMachines[aStart.mWorker];
+  SimulatedWorker& worker = mSimulatedWorkers[aStart.mWorker];
   Amount reserved = aStart.mReserved;
-  for (const Task& task : machine.mTasks) {
+  for (const Task& task : worker.mTasks) {
     reserved += task.mReserved;
   }
-  const Amount capacity{ mDeployment.mCores * 1000, mDeployment.mMemoryMb, 0 };
-  mResult.mOvercommitted += Fits(reserved, capacity) ? 0 : 1;
-  mResult.mDoubled += mRunningOn.contains(aStart.mJob) ? 1 : 0;
-  const bool late = !DataCentreIn(aStart.mWorker) &&
-                    mNowS > mScenario.mDataCentreOut.mFromS + 3;
+  const Amount capacity{ mDeployment.mCoresPerWorker * 1000,
+                         mDeployment.mMemoryMbPerWorker,
+                         0 };
+  mResult.mOvercommittedStarts += Fits(reserved, capacity) ? 0 : 1;
+  mResult.mDuplicateStarts += mRunningOn.contains(aStart.mJob) ? 1 : 0;
+  const bool late = !DataCentreInService(aStart.mWorker) &&
+                    mNowS > mScenario.mDataCentreOutOfService.mFromS + 3;
   mResult.mLateStarts += late ? 1 : 0;
   ++mResult.mStarts;
 
@@ -331,55 +361,56 @@
   task.mName = aStart.mJob;
   task.mAttempt = aStart.mAttempt;
   task.mReserved = aStart.mReserved;
-  const auto job = mByName.find(aStart.mJob);
-  if (job != mByName.end()) {
+  const auto job = mJobsByName.find(aStart.mJob);
+  if (job != mJobsByName.end()) {
     task.mJob = job->second;
     if (!aStart.mCheckpoint.empty()) {
-      task.mSavedS = task.mDoneS = mSavedS[aStart.mJob];
+      task.mCheckpointedS = task.mProgressS = mCheckpointedS[aStart.mJob];
     }
     if (aStart.mClass == TaskClass::Urgent && aStart.mAttempt <= 1) {
-      mUrgentWaitsS.push_back(mNowS - job->second->mArrivesS);
+      mUrgentWaitsS.push_back(mNowS - job->second->mArrivalS);
     }
   } else {
     task.mRunner =
       std::stoul(aStart.mJob.substr(std::string(kRunnerPrefix).size()));
-    mRunnerMachine[*task.mRunner] = aStart.mWorker;
+    mWorkerOfRunner[*task.mRunner] = aStart.mWorker;
   }
   mRunningOn[aStart.mJob] = aStart.mWorker;
-  machine.mTasks.push_back(std::move(task));
+  worker.mTasks.push_back(std::move(task));
   HandleStartAnswer(
     mShard,
     aStart.mWorker,
     aStart.mJob,
     aStart.mAttempt,
     StartAccepted{ static_cast<std::uint64_t>(mNowS * 1000) + 1 },
-    At(mNowS),
-    aMore);
+    VirtualTimeAt(mNowS),
+    aFollowUpActions);
 }
 
 void
-Cluster::Perform(const StopTask& aStop, Actions& /*aMore*/)
+Cluster::Perform(const StopTask& aStop, Actions& /*aFollowUpActions*/)
 {
   Task* task = FindTask(aStop.mWorker, aStop.mJob, aStop.mAttempt);
   if (task) {
-    Machine& machine = mMachines[aStop.mWorker];
-    Finish(machine,
-           static_cast<std::size_t>(task - machine.mTasks.data()),
-           TaskResult::Stopped);
+    SimulatedWorker& worker = mSimulatedWorkers[aStop.mWorker];
+    FinishTask(worker,
+               static_cast<std::size_t>(task - worker.mTasks.data()),
+               TaskResult::Stopped);
   }
 }
 
 void
-Cluster::Perform(const CheckpointTask& aCheckpoint, Actions& /*aMore*/)
+Cluster::Perform(const CheckpointTask& aCheckpoint,
+                 Actions& /*aFollowUpActions*/)
 {
   if (Task* task =
         FindTask(aCheckpoint.mWorker, aCheckpoint.mJob, aCheckpoint.mAttempt)) {
-    task->mSavedS = task->mDoneS;
+    task->mCheckpointedS = task->mProgressS;
   }
 }
 
 void
-Cluster::Perform(const ThrottleTask& aThrottle, Actions& /*aMore*/)
+Cluster::Perform(const ThrottleTask& aThrottle, Actions& /*aFollowUpActions*/)
 {
   if (Task* task =
         FindTask(aThrottle.mWorker, aThrottle.mJob, aThrottle.mAttempt)) {
@@ -388,25 +419,32 @@
 }
 
 void
-Cluster::Perform(const CommitRow& aCommit, Actions& aMore)
+Cluster::Perform(const CommitRow& aCommit, Actions& aFollowUpActions)
 {
   if (mScenario.mStoreOutage.Contains(mNowS)) {
-    mUncommitted.push_back(aCommit);
+    mUncommittedRows.push_back(aCommit);
     return;
   }
-  HandleCommitted(
-    mShard, aCommit.mRow.mSpec.mJob, aCommit.mSequence, At(mNowS), aMore);
+  HandleCommitted(mShard,
+                  aCommit.mRow.mSpec.mJob,
+                  aCommit.mSequence,
+                  VirtualTimeAt(mNowS),
+                  aFollowUpActions);
 }
 
 void
 Cluster::Execute(Actions aActions)
 {
   while (!aActions.empty()) {
-    Actions more;
+    Actions followUpActions;
     for (const Action& action : aActions) {
-      std::visit([&](const auto& aOne) { Perform(aOne, more); }, action);
+      std::visit(
+        [&](const auto& aSpecificAction) {
+          Perform(aSpecificAction, followUpActions);
+        },
+        action);
     }
-    aActions = std::move(more);
+    aActions = std::move(followUpActions);
   }
 }
 
@@ -415,20 +453,22 @@
 {
   ++mSteps;
   mNowS = static_cast<double>(mSteps) * kStepS;
-  RefreshDataCentres();
+  SyncWithTableService();
   SubmitArrived();
-  CancelSome();
-  for (std::size_t i = 0; i < mMachines.size(); ++i) {
-    Measure(i);
+  CancelWaveJobs();
+  for (std::size_t i = 0; i < mSimulatedWorkers.size(); ++i) {
+    UpdateInterference(i);
     RunTasks(i);
-    if (mScenario.mDataCentreOut.Contains(mNowS) && DataCentreIn(i)) {
-      mResult.mOutCapacityS += kStepS * CoresForBatch(mMachines[i]);
+    if (mScenario.mDataCentreOutOfService.Contains(mNowS) &&
+        DataCentreInService(i)) {
+      mResult.mOutOfServiceCapacityCoreS +=
+        kStepS * CoresForBatch(mSimulatedWorkers[i]);
     }
     PollWorker(i);
   }
   Actions actions;
-  HandleTick(mShard, At(mNowS), actions);
-  PlaceQueued(mShard, At(mNowS), kStartsPerStep, actions);
+  HandleTick(mShard, VirtualTimeAt(mNowS), actions);
+  PlaceQueued(mShard, VirtualTimeAt(mNowS), kMaxStartsPerStep, actions);
   Execute(std::move(actions));
 }
 
@@ -443,16 +483,16 @@
 std::optional<double>
 Cluster::Slowdown(std::size_t aRunner) const
 {
-  if (!mRunnerMachine[aRunner]) {
+  if (!mWorkerOfRunner[aRunner]) {
     return std::nullopt;
   }
-  return mMachines[*mRunnerMachine[aRunner]].mSlowdown;
+  return mSimulatedWorkers[*mWorkerOfRunner[aRunner]].mSlowdown;
 }
 
 void
 Cluster::SetBusy(std::size_t aRunner, double aShare)
 {
-  mBusy[aRunner] = aShare;
+  mBusyShares[aRunner] = aShare;
 }
 
 ClusterResult
--- a/Tests/Bench/Cluster.h
+++ b/Tests/Bench/Cluster.h
@@ -15,32 +15,39 @@
 namespace paddle::bench {
 
 /// Start of virtual time.
-inline constexpr MonotonicTime kEpoch{ std::chrono::hours(1) };
+inline constexpr MonotonicTime kVirtualStart{ std::chrono::hours(1) };
 
-/// @return the point of virtual time after @p aSecond seconds
+/// @return the point of virtual time @p aSecond seconds after its start
 inline MonotonicTime
-At(double aSecond)
+VirtualTimeAt(double aSecond)
 {
-  return kEpoch + std::chrono::duration_cast<MonotonicTime::duration>(
-                    std::chrono::duration<double>(aSecond));
+  return kVirtualStart + std::chrono::duration_cast<MonotonicTime::duration>(
+                           std::chrono::duration<double>(aSecond));
 }
 
-/// What a run did with its batch work.
+/// Totals of the tasks of a run.
 struct ClusterResult
 {
-  double mBatchCoreS = 0;   ///< Useful work of finished and saved progress.
-  double mOutCoreS = 0;     ///< The same while a data centre was out.
-  double mOutCapacityS = 0; ///< Left then beside services.
+  /// Core seconds of progress of batch jobs, without progress that was lost
+  /// because it was not in a checkpoint.
+  double mBatchCoreS = 0;
+  /// Part of mBatchCoreS while a data centre was out of service.
+  double mOutOfServiceBatchCoreS = 0;
+  /// Core seconds not reserved for services in the other data centres in that
+  /// time.
+  double mOutOfServiceCapacityCoreS = 0;
   std::uint64_t mEvictions = 0;
   std::uint64_t mStarts = 0;
   std::uint64_t mFinished = 0;
-  std::uint64_t mOvercommitted = 0; ///< Starts beyond a worker's capacity.
-  std::uint64_t mDoubled = 0;       ///< Starts of a job that ran elsewhere.
-  std::uint64_t mLateStarts = 0;    ///< Starts 3 s after a data centre left.
+  std::uint64_t mOvercommittedStarts = 0; ///< Beyond a worker's capacity.
+  std::uint64_t mDuplicateStarts = 0;     ///< Of a job that ran already.
+  /// Starts in a data centre more than 3 s after it was taken out of service.
+  std::uint64_t mLateStarts = 0;
   double mUrgentWaitP99S = 0;
 };
 
-/// Workers on a virtual clock that run what one placement shard decides.
+/// Simulated workers in virtual time that run the tasks that one placement
+/// shard starts on them.
 class Cluster
 {
 public:
@@ -49,76 +56,98 @@
           const std::vector<BenchJob>& aJobs,
           const PlacementPolicy& aPolicy);
 
-  /// Moves virtual time forward to @p aSecond in steps of kStepS.
+  /// Advances virtual time to @p aSecond in steps of kStepS.
   void AdvanceTo(double aSecond);
 
-  /// @return by which factor requests of a runner are slower than on an
-  ///         undisturbed worker; nothing while the runner is not running
+  /// @return the factor by which interference slows the requests of a runner
+  ///         down; nothing while the runner does not run
   [[nodiscard]] std::optional<double> Slowdown(std::size_t aRunner) const;
 
-  /// Tells how busy a runner's slots are, from 0 to 1.
+  /// Sets the share of a runner's slots that are in use, from 0 to 1.
   void SetBusy(std::size_t aRunner, double aShare);
 
   [[nodiscard]] ClusterResult Result() const;
 
+  /// Length of a step of virtual time.
   static constexpr double kStepS = 0.5;
 
 private:
   struct Task
   {
-    const BenchJob* mJob = nullptr;
+    const BenchJob* mJob = nullptr; ///< Null for a runner.
     std::string mName;
     std::uint32_t mAttempt = 0;
-    double mDoneS = 0;
-    double mSavedS = 0;
+    double mProgressS = 0;     ///< Run time without interference so far.
+    double mCheckpointedS = 0; ///< Progress at the latest checkpoint.
     bool mThrottled = false;
-    std::optional<std::size_t> mRunner;
+    std::optional<std::size_t> mRunner; ///< Index of the runner, if it is one.
     Amount mReserved;
   };
-  struct Machine
+  struct SimulatedWorker
   {
     std::vector<Task> mTasks;
-    std::vector<TaskOutcome> mOutcomes;
-    std::deque<std::vector<TaskReport>> mPastReports; ///< Usage lags.
-    bool mFailsAll = false;
-    double mContention = 0;
-    double mSlowdown = 1;
+    std::vector<TaskOutcome> mOutcomes; ///< Not acknowledged yet.
+    /// Latest reports, oldest first. Usage is taken from the oldest.
+    std::deque<std::vector<TaskReport>> mPastReports;
+    bool mFailsAllTasks = false;
+    double mUtilization = 0; ///< Used share of the cores; can exceed 1.
+    double mSlowdown = 1;    ///< Factor on the latency of requests.
   };
 
   void Step();
+  /// Submits the jobs that have arrived, and the runners in the second step.
   void SubmitArrived();
-  void CancelSome();
-  void RefreshDataCentres();
-  void RunTasks(std::size_t aMachine);
-  void Measure(std::size_t aMachine);
-  double CoresForBatch(const Machine& aMachine) const;
-  Amount UseOf(const Task& aTask) const;
-  std::vector<TaskReport> ReportOf(const Machine& aMachine) const;
-  void PollWorker(std::size_t aMachine);
+  /// Cancels the jobs of the cancellation wave when it is due.
+  void CancelWaveJobs();
+  /// Updates the states of the data centres and confirms held-back rows, unless
+  /// the table service is out.
+  void SyncWithTableService();
+  /// Advances the tasks of a worker by one step and ends those that are done.
+  void RunTasks(std::size_t aWorker);
+  /// Computes the utilization and the slowdown of a worker from its tasks.
+  void UpdateInterference(std::size_t aWorker);
+  /// @return the cores of a worker that are not reserved for runners
+  double CoresForBatch(const SimulatedWorker& aWorker) const;
+  /// @return the resources that a task uses now
+  Amount UsageOf(const Task& aTask) const;
+  /// @return the state of all tasks of a worker, with their current usage
+  std::vector<TaskReport> TaskReportsOf(const SimulatedWorker& aWorker) const;
+  /// Passes the report of a worker to the placement shard.
+  void PollWorker(std::size_t aWorker);
+  /// Performs actions of the placement shard and the actions that follow from
+  /// them.
   void Execute(Actions aActions);
-  void Perform(const StartTask& aStart, Actions& aMore);
-  void Perform(const StopTask& aStop, Actions& aMore);
-  void Perform(const CheckpointTask& aCheckpoint, Actions& aMore);
-  void Perform(const ThrottleTask& aThrottle, Actions& aMore);
-  void Perform(const CommitRow& aCommit, Actions& aMore);
-  void Finish(Machine& aMachine, std::size_t aTask, TaskResult aResult);
-  Task* FindTask(std::size_t aMachine,
+  void Perform(const StartTask& aStart, Actions& aFollowUpActions);
+  void Perform(const StopTask& aStop, Actions& aFollowUpActions);
+  void Perform(const CheckpointTask& aCheckpoint, Actions& aFollowUpActions);
+  void Perform(const ThrottleTask& aThrottle, Actions& aFollowUpActions);
+  void Perform(const CommitRow& aCommit, Actions& aFollowUpActions);
+  /// Removes a task and records its outcome for the next report.
+  /// @param aTask index in the tasks of the worker
+  void FinishTask(SimulatedWorker& aWorker,
+                  std::size_t aTask,
+                  TaskResult aResult);
+  /// @return the task with that attempt; null if it is not on the worker
+  Task* FindTask(std::size_t aWorker,
                  const std::string& aJob,
                  std::uint32_t aAttempt);
+  /// @param aCoreS progress of batch work; negative if it was lost
   void CountProgress(double aCoreS);
-  bool DataCentreIn(std::size_t aMachine) const;
+  /// @return whether the worker's data centre is in service
+  bool DataCentreInService(std::size_t aWorker) const;
 
   const Deployment& mDeployment;
   const Scenario& mScenario;
   const std::vector<BenchJob>& mJobs;
   Shard mShard;
-  std::vector<Machine> mMachines;
-  std::map<std::string, const BenchJob*> mByName;
-  std::map<std::string, double> mSavedS; ///< Progress of checkpoints.
-  std::map<std::string, std::size_t> mRunningOn;
-  std::vector<std::optional<std::size_t>> mRunnerMachine;
-  std::vector<double> mBusy;
-  std::deque<CommitRow> mUncommitted; ///< During a store outage.
+  std::vector<SimulatedWorker> mSimulatedWorkers;
+  std::map<std::string, const BenchJob*> mJobsByName;
+  std::map<std::string, double> mCheckpointedS;  ///< By job.
+  std::map<std::string, std::size_t> mRunningOn; ///< Worker by job.
+  std::vector<std::optional<std::size_t>> mWorkerOfRunner;
+  std::vector<double> mBusyShares;
+  /// Rows written during an outage of the table service.
+  std::deque<CommitRow> mUncommittedRows;
   std::vector<double> mUrgentWaitsS;
   std::size_t mNextJob = 0;
   double mNowS = 0;
--- a/Tests/Bench/Main.cpp
+++ b/Tests/Bench/Main.cpp
@@ -1,7 +1,10 @@
-// Runs today's policies and the baseline on the same arrivals and prints one
-// line per deployment, scenario and measure.
+// Simulates the current policies and the baseline policies with the same
+// workloads in virtual time, and prints one line per deployment, scenario and
+// measure.
 //
 // Usage: bench [SEEDS [SCENARIO]]
+// SEEDS is the number of seeds over which each measure is averaged (default 5).
+// SCENARIO restricts the run to one scenario.
 
 #include <atomic>
 #include <cstdio>
@@ -20,26 +23,27 @@
 
 namespace {
 
-constexpr unsigned kThreads = 4;
+/// Number of simulations that run in parallel.
+constexpr unsigned kThreadCount = 4;
 
-/// The policies that are compared.
-struct Contender
+/// One of the two sets of policies that are compared.
+struct ComparedPolicies
 {
   PlacementPolicy mPlacement;
   RoutingPolicy mRouting;
   Admission mAdmission = Admission::None;
 };
 
-struct Outcomes
+/// Result of one simulated run.
+struct RunResult
 {
   RequestResult mRequests;
   ClusterResult mCluster;
 };
 
-Contender
-MakeContender(const char* aPlacement,
-              const char* aRouting,
-              Admission aAdmission)
+/// Looks up policies by name. Exits if one is not registered.
+ComparedPolicies
+FindPolicies(const char* aPlacement, const char* aRouting, Admission aAdmission)
 {
   const auto placement = Registry<PlacementPolicy>::Instance().Find(aPlacement);
   const auto routing = Registry<RoutingPolicy>::Instance().Find(aRouting);
@@ -50,31 +54,32 @@
   return { ValueOf(placement), ValueOf(routing), aAdmission };
 }
 
-Outcomes
+/// Simulates one deployment under one scenario with one set of policies.
+RunResult
 RunOnce(const Deployment& aDeployment,
         const Scenario& aScenario,
         std::uint64_t aSeed,
-        const Contender& aContender)
+        const ComparedPolicies& aPolicies)
 {
   const Workload workload = MakeWorkload(aDeployment, aScenario, aSeed);
-  Cluster cluster(
-    aDeployment, aScenario, workload.mJobs, aContender.mPlacement);
-  Outcomes outcomes;
-  outcomes.mRequests = RunRequests(aDeployment,
-                                   workload.mRequests,
-                                   aContender.mRouting,
-                                   aContender.mAdmission,
-                                   cluster);
-  outcomes.mCluster = cluster.Result();
-  return outcomes;
+  Cluster cluster(aDeployment, aScenario, workload.mJobs, aPolicies.mPlacement);
+  RunResult result;
+  result.mRequests = RunRequests(aDeployment,
+                                 workload.mRequests,
+                                 aPolicies.mRouting,
+                                 aPolicies.mAdmission,
+                                 cluster);
+  result.mCluster = cluster.Result();
+  return result;
 }
 
-/// One value per measure; sums and means over the seeds are comparable.
+/// @return the value of each measure by its name; values can be averaged over
+///         seeds
 std::map<std::string, double>
-MeasuresOf(const Outcomes& aOutcomes)
+MeasuresOf(const RunResult& aResult)
 {
-  const RequestResult& requests = aOutcomes.mRequests;
-  const ClusterResult& cluster = aOutcomes.mCluster;
+  const RequestResult& requests = aResult.mRequests;
+  const ClusterResult& cluster = aResult.mCluster;
   std::map<std::string, double> measures;
   measures["p50_ms"] = requests.mP50Ms;
   measures["p99_ms"] = requests.mP99Ms;
@@ -86,17 +91,18 @@
   measures["evictions"] = static_cast<double>(cluster.mEvictions);
   measures["starts"] = static_cast<double>(cluster.mStarts);
   measures["urgent_wait_p99_s"] = cluster.mUrgentWaitP99S;
-  if (cluster.mOutCapacityS > 0) {
+  if (cluster.mOutOfServiceCapacityCoreS > 0) {
     measures["out_use_of_capacity_left"] =
-      cluster.mOutCoreS / cluster.mOutCapacityS;
+      cluster.mOutOfServiceBatchCoreS / cluster.mOutOfServiceCapacityCoreS;
   }
-  measures["violations"] =
-    static_cast<double>(cluster.mOvercommitted + cluster.mDoubled +
-                        cluster.mLateStarts + requests.mSlotsExceeded);
+  measures["violations"] = static_cast<double>(
+    cluster.mOvercommittedStarts + cluster.mDuplicateStarts +
+    cluster.mLateStarts + requests.mSlotsExceeded);
   return measures;
 }
 
-struct Cell
+/// The measures of both sets of policies for one workload.
+struct Comparison
 {
   const Deployment* mDeployment = nullptr;
   const Scenario* mScenario = nullptr;
@@ -105,45 +111,54 @@
   std::map<std::string, double> mCurrent;
 };
 
+/// Runs all simulations and fills in the measures.
 void
-RunCells(std::vector<Cell>& aCells)
+RunComparisons(std::vector<Comparison>& aComparisons)
 {
-  const Contender baseline =
-    MakeContender("first-fit", "round-robin", Admission::None);
-  const Contender current =
-    MakeContender("learned", "least-outstanding", Admission::ByDeadline);
+  const ComparedPolicies baseline =
+    FindPolicies("first-fit", "round-robin", Admission::None);
+  const ComparedPolicies current =
+    FindPolicies("learned", "least-outstanding", Admission::ByDeadline);
   std::atomic<std::size_t> next{ 0 };
   const auto work = [&] {
-    for (std::size_t i = next++; i < aCells.size(); i = next++) {
-      Cell& cell = aCells[i];
-      cell.mBaseline = MeasuresOf(
-        RunOnce(*cell.mDeployment, *cell.mScenario, cell.mSeed, baseline));
-      cell.mCurrent = MeasuresOf(
-        RunOnce(*cell.mDeployment, *cell.mScenario, cell.mSeed, current));
+    for (std::size_t i = next++; i < aComparisons.size(); i = next++) {
+      Comparison& comparison = aComparisons[i];
+      comparison.mBaseline = MeasuresOf(RunOnce(*comparison.mDeployment,
+                                                *comparison.mScenario,
+                                                comparison.mSeed,
+                                                baseline));
+      comparison.mCurrent = MeasuresOf(RunOnce(*comparison.mDeployment,
+                                               *comparison.mScenario,
+                                               comparison.mSeed,
+                                               current));
     }
   };
   std::vector<std::jthread> threads;
-  for (unsigned i = 0; i < kThreads; ++i) {
+  for (unsigned i = 0; i < kThreadCount; ++i) {
     threads.emplace_back(work);
   }
 }
 
+/// Prints the means over the seeds.
+/// @param aComparisons ordered so that the seeds of a scenario are adjacent
+/// @param aSeeds number of seeds of each scenario
 void
-Print(const std::vector<Cell>& aCells, std::size_t aSeeds)
+PrintMeasures(const std::vector<Comparison>& aComparisons, std::size_t aSeeds)
 {
-  for (std::size_t first = 0; first < aCells.size(); first += aSeeds) {
-    for (const auto& [measure, unused] : aCells[first].mCurrent) {
+  for (std::size_t first = 0; first < aComparisons.size(); first += aSeeds) {
+    for (const auto& [measure, unused] : aComparisons[first].mCurrent) {
       double baseline = 0;
       double current = 0;
       for (std::size_t i = first; i < first + aSeeds; ++i) {
         baseline +=
-          aCells[i].mBaseline.at(measure) / static_cast<double>(aSeeds);
-        current += aCells[i].mCurrent.at(measure) / static_cast<double>(aSeeds);
+          aComparisons[i].mBaseline.at(measure) / static_cast<double>(aSeeds);
+        current +=
+          aComparisons[i].mCurrent.at(measure) / static_cast<double>(aSeeds);
       }
       std::printf("deployment=%s scenario=%s measure=%s baseline=%.3f "
                   "current=%.3f ratio=%.3f\n",
-                  aCells[first].mDeployment->mName.c_str(),
-                  aCells[first].mScenario->mName.c_str(),
+                  aComparisons[first].mDeployment->mName.c_str(),
+                  aComparisons[first].mScenario->mName.c_str(),
                   measure.c_str(),
                   baseline,
                   current,
@@ -159,18 +174,18 @@
 {
   const std::size_t seeds = aCount > 1 ? std::stoul(aArguments[1]) : 5;
   const std::string only = aCount > 2 ? aArguments[2] : "";
-  std::vector<Cell> cells;
+  std::vector<Comparison> comparisons;
   for (const Deployment& deployment : Deployments()) {
     for (const Scenario& scenario : Scenarios()) {
       if (!only.empty() && scenario.mName != only) {
         continue;
       }
       for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        cells.push_back({ &deployment, &scenario, seed, {}, {} });
+        comparisons.push_back({ &deployment, &scenario, seed, {}, {} });
       }
     }
   }
-  RunCells(cells);
-  Print(cells, seeds);
+  RunComparisons(comparisons);
+  PrintMeasures(comparisons, seeds);
   return EXIT_SUCCESS;
 }
--- a/Tests/Bench/RequestRun.cpp
+++ b/Tests/Bench/RequestRun.cpp
@@ -8,172 +8,190 @@
 
 namespace {
 
+/// Time within which a request must be answered.
 constexpr double kDeadlineS = 2;
-constexpr double kTickS = 0.01;
-constexpr double kProbeS = 0.001;
-constexpr double kConnectFailureS = 0.001;
-constexpr double kHostListS = 1;
-/// Room for about a second of requests, as the accept queue of a simple proxy
-/// that refuses nothing early.
-constexpr std::size_t kBaselineWaiting = 4000;
-constexpr const char* kService = "desk";
-constexpr const char* kShard = "runner/desk/0";
-
-/// What happens later: the end of a try or of a probe.
-struct Later
+/// Interval of the ticks that the routing state receives.
+constexpr double kTickIntervalS = 0.01;
+constexpr double kProbeDurationS = 0.001;
+/// Time until a send to a runner that does not run fails.
+constexpr double kConnectFailureDelayS = 0.001;
+/// Interval at which the routing state receives the host list.
+constexpr double kHostListIntervalS = 1;
+/// Most requests that may wait in the baseline. It holds the requests of about
+/// one second, like the accept queue of a simple proxy that refuses none early.
+constexpr std::size_t kBaselineMaxWaiting = 4000;
+constexpr const char* kServiceName = "desk";
+constexpr const char* kShardName = "runner/desk/0";
+
+/// The end of a try or of a probe, at a later point of virtual time.
+struct FutureEvent
 {
-  double mAtS = 0;
-  std::uint64_t mOrder = 0;
+  double mDueS = 0;
+  std::uint64_t mSequenceNumber = 0; ///< Orders events of the same time.
   bool mIsProbe = false;
   RequestNumber mNumber = 0;
   RunnerRef mRunner;
   TryResult mResult = TryResult::Answered;
 
-  bool operator>(const Later& aOther) const
+  bool operator>(const FutureEvent& aOther) const
   {
-    return std::pair(mAtS, mOrder) > std::pair(aOther.mAtS, aOther.mOrder);
+    return std::pair(mDueS, mSequenceNumber) >
+           std::pair(aOther.mDueS, aOther.mSequenceNumber);
   }
 };
 
-class Run
+/// One run of RunRequests().
+class RequestRun
 {
 public:
-  Run(const Deployment& aDeployment,
-      const std::vector<BenchRequest>& aRequests,
-      const RoutingPolicy& aPolicy,
-      Admission aAdmission,
-      Cluster& aCluster)
+  RequestRun(const Deployment& aDeployment,
+             const std::vector<BenchRequest>& aRequests,
+             const RoutingPolicy& aPolicy,
+             Admission aAdmission,
+             Cluster& aCluster)
     : mDeployment(aDeployment)
     , mRequests(aRequests)
     , mAdmission(aAdmission)
     , mCluster(aCluster)
-    , mInUse(aDeployment.mRunners)
+    , mSlotsInUse(aDeployment.mRunnerCount)
   {
     mState.mPolicy = aPolicy;
     if (mAdmission == Admission::None) {
-      mState.mSettings.mMostWaiting = kBaselineWaiting;
+      mState.mSettings.mMostWaiting = kBaselineMaxWaiting;
     }
   }
 
+  /// Handles arrivals, ticks and events in order of virtual time until all
+  /// requests have ended.
   RequestResult Execute()
   {
     RoutingActions actions;
     Apply(mState,
-          ShardAcquired{ kShard, { 1, Acquisition::FirstOwner, At(0) } },
-          At(0),
+          ShardAcquired{ kShardName,
+                         { 1, Acquisition::FirstOwner, VirtualTimeAt(0) } },
+          VirtualTimeAt(0),
           actions);
     std::size_t next = 0;
-    double nextTick = 0;
-    double nextList = 0;
-    while (next < mRequests.size() || !mLater.empty()) {
-      const double arrival =
-        next < mRequests.size() ? mRequests[next].mArrivesS : kRunS * 10;
-      const double later = mLater.empty() ? kRunS * 10 : mLater.top().mAtS;
-      mNowS = std::min({ arrival, later, nextTick });
-      if (mNowS >= nextList) {
-        ListRunners();
-        nextList += kHostListS;
+    double nextTickS = 0;
+    double nextHostListS = 0;
+    while (next < mRequests.size() || !mFutureEvents.empty()) {
+      const double nextArrivalS = next < mRequests.size()
+                                    ? mRequests[next].mArrivalS
+                                    : kRunDurationS * 10;
+      const double nextEventS =
+        mFutureEvents.empty() ? kRunDurationS * 10 : mFutureEvents.top().mDueS;
+      mNowS = std::min({ nextArrivalS, nextEventS, nextTickS });
+      if (mNowS >= nextHostListS) {
+        UpdateRunnerList();
+        nextHostListS += kHostListIntervalS;
       }
-      if (mNowS == nextTick) {
-        mCluster.AdvanceTo(std::min(mNowS, kRunS));
-        Send(Tick{});
-        nextTick += kTickS;
-      } else if (mNowS == arrival) {
-        Arrive(next);
+      if (mNowS == nextTickS) {
+        mCluster.AdvanceTo(std::min(mNowS, kRunDurationS));
+        ApplyEvent(Tick{});
+        nextTickS += kTickIntervalS;
+      } else if (mNowS == nextArrivalS) {
+        HandleArrival(next);
         ++next;
       } else {
-        Happen();
+        HandleFutureEvent();
       }
     }
-    mCluster.AdvanceTo(kRunS);
-    return Summary();
+    mCluster.AdvanceTo(kRunDurationS);
+    return Summarize();
   }
 
 private:
+  /// Applies an event to the routing state and performs the resulting actions.
   template<typename Event>
-  void Send(const Event& aEvent)
+  void ApplyEvent(const Event& aEvent)
   {
     RoutingActions actions;
-    Apply(mState, aEvent, At(mNowS), actions);
+    Apply(mState, aEvent, VirtualTimeAt(mNowS), actions);
     for (const RoutingAction& action : actions) {
-      std::visit([this](const auto& aOne) { Perform(aOne); }, action);
+      std::visit(
+        [this](const auto& aSpecificAction) { Perform(aSpecificAction); },
+        action);
     }
   }
 
-  void ListRunners()
+  /// Sends the host list to the routing state, with runners that do not run as
+  /// leaving, and tells the cluster how busy each runner is.
+  void UpdateRunnerList()
   {
     ServiceListed listed;
-    listed.mName = kService;
-    for (std::size_t i = 0; i < mDeployment.mRunners; ++i) {
+    listed.mName = kServiceName;
+    for (std::size_t i = 0; i < mDeployment.mRunnerCount; ++i) {
       ListedRunner runner;
       runner.mName = "runner-" + std::to_string(i);
-      runner.mShard = kShard;
+      runner.mShard = kShardName;
       runner.mLeaving = !mCluster.Slowdown(i).has_value();
       listed.mRunners.push_back(std::move(runner));
-      mCluster.SetBusy(i, mInUse[i] / 8.0);
+      mCluster.SetBusy(i, mSlotsInUse[i] / 8.0);
     }
-    Send(listed);
+    ApplyEvent(listed);
   }
 
-  void Arrive(std::size_t aIndex)
+  /// @param aIndex of the request that arrives
+  void HandleArrival(std::size_t aIndex)
   {
     RequestArrived arrived;
     arrived.mNumber = aIndex;
-    arrived.mService = FindService(mState, kService);
+    arrived.mService = FindService(mState, kServiceName);
     const double deadline =
       mAdmission == Admission::ByDeadline ? kDeadlineS : kDeadlineS * 10;
-    arrived.mDeadline = At(mNowS + deadline);
-    Send(arrived);
+    arrived.mDeadline = VirtualTimeAt(mNowS + deadline);
+    ApplyEvent(arrived);
   }
 
-  void Happen()
+  /// Handles the earliest future event.
+  void HandleFutureEvent()
   {
-    const Later later = mLater.top();
-    mLater.pop();
-    if (later.mIsProbe) {
-      const bool healthy = mCluster.Slowdown(later.mRunner.mRunner).has_value();
-      Send(ProbeEnded{ later.mRunner, healthy });
+    const FutureEvent event = mFutureEvents.top();
+    mFutureEvents.pop();
+    if (event.mIsProbe) {
+      const bool healthy = mCluster.Slowdown(event.mRunner.mRunner).has_value();
+      ApplyEvent(ProbeEnded{ event.mRunner, healthy });
       return;
     }
-    --mInUse[later.mRunner.mRunner];
-    if (later.mResult == TryResult::Answered) {
-      Record(later.mNumber, mNowS - mRequests[later.mNumber].mArrivesS);
+    --mSlotsInUse[event.mRunner.mRunner];
+    if (event.mResult == TryResult::Answered) {
+      RecordLatency(event.mNumber, mNowS - mRequests[event.mNumber].mArrivalS);
     }
-    Send(TryEnded{ later.mNumber, later.mResult });
+    ApplyEvent(TryEnded{ event.mNumber, event.mResult });
   }
 
   void Perform(const SendToRunner& aSend)
   {
     const std::size_t runner = aSend.mRunner.mRunner;
     const std::optional<double> slowdown = mCluster.Slowdown(runner);
-    ++mInUse[runner];
-    mResult.mSlotsExceeded += mInUse[runner] > 8 ? 1 : 0;
-    Later later;
-    later.mOrder = mOrder++;
-    later.mNumber = aSend.mNumber;
-    later.mRunner = aSend.mRunner;
+    ++mSlotsInUse[runner];
+    mResult.mSlotsExceeded += mSlotsInUse[runner] > 8 ? 1 : 0;
+    FutureEvent event;
+    event.mSequenceNumber = mNextSequenceNumber++;
+    event.mNumber = aSend.mNumber;
+    event.mRunner = aSend.mRunner;
     if (!slowdown) {
-      later.mResult = TryResult::NotSent;
-      later.mAtS = mNowS + kConnectFailureS;
-      mLater.push(later);
+      event.mResult = TryResult::NotSent;
+      event.mDueS = mNowS + kConnectFailureDelayS;
+      mFutureEvents.push(event);
       return;
     }
-    later.mAtS = mNowS + mRequests[aSend.mNumber].mServiceS * *slowdown;
+    event.mDueS = mNowS + mRequests[aSend.mNumber].mServiceS * *slowdown;
     const double ends =
-      std::chrono::duration<double>(aSend.mTryEnds - kEpoch).count();
-    if (later.mAtS > ends) {
-      later.mAtS = ends;
-      later.mResult = TryResult::TimedOut;
+      std::chrono::duration<double>(aSend.mTryEnds - kVirtualStart).count();
+    if (event.mDueS > ends) {
+      event.mDueS = ends;
+      event.mResult = TryResult::TimedOut;
     }
-    mLater.push(later);
+    mFutureEvents.push(event);
   }
 
   void Perform(const GiveUp& aGiveUp)
   {
-    const double waited = mNowS - mRequests[aGiveUp.mNumber].mArrivesS;
+    const double waited = mNowS - mRequests[aGiveUp.mNumber].mArrivalS;
     if (aGiveUp.mExplanation.mKind == DecisionKind::Refuse) {
       ++mResult.mRefused;
-      mRefusalsS.push_back(waited);
+      mRefusalTimesS.push_back(waited);
     } else {
       ++mResult.mUnknown;
     }
@@ -182,23 +200,27 @@
 
   void Perform(const ProbeRunner& aProbe)
   {
-    Later later;
-    later.mOrder = mOrder++;
-    later.mAtS = mNowS + kProbeS;
-    later.mIsProbe = true;
-    later.mRunner = aProbe.mRunner;
-    mLater.push(later);
+    FutureEvent event;
+    event.mSequenceNumber = mNextSequenceNumber++;
+    event.mDueS = mNowS + kProbeDurationS;
+    event.mIsProbe = true;
+    event.mRunner = aProbe.mRunner;
+    mFutureEvents.push(event);
   }
 
+  // The only routing state has no peers, and explanations are not recorded.
   void Perform(const ForwardToPeer&) {}
   void Perform(const Explain&) {}
 
-  void Record(RequestNumber /*aNumber*/, double aLatencyS)
+  /// Counts a request that was answered.
+  void RecordLatency(RequestNumber /*aNumber*/, double aLatencyS)
   {
     mResult.mAnsweredInTime += aLatencyS <= kDeadlineS ? 1 : 0;
     mLatenciesS.push_back(std::min(aLatencyS, kDeadlineS));
   }
 
+  /// @param aValues are reordered
+  /// @return the value at quantile @p aQuantile (0 to 1); 0 without values
   static double Quantile(std::vector<double>& aValues, double aQuantile)
   {
     if (aValues.empty()) {
@@ -210,13 +232,14 @@
     return aValues[static_cast<std::size_t>(index)];
   }
 
-  RequestResult Summary()
+  /// Computes the totals and the quantiles of the run.
+  RequestResult Summarize()
   {
     mResult.mArrived = mRequests.size();
     mResult.mP50Ms = Quantile(mLatenciesS, 0.5) * 1000;
     mResult.mP99Ms = Quantile(mLatenciesS, 0.99) * 1000;
-    mResult.mRefusalP99Ms = Quantile(mRefusalsS, 0.99) * 1000;
-    mResult.mRefusalLongestMs = Quantile(mRefusalsS, 1) * 1000;
+    mResult.mRefusalP99Ms = Quantile(mRefusalTimesS, 0.99) * 1000;
+    mResult.mRefusalLongestMs = Quantile(mRefusalTimesS, 1) * 1000;
     return mResult;
   }
 
@@ -225,11 +248,12 @@
   Admission mAdmission;
   Cluster& mCluster;
   RoutingState mState;
-  std::priority_queue<Later, std::vector<Later>, std::greater<>> mLater;
-  std::vector<int> mInUse;
+  std::priority_queue<FutureEvent, std::vector<FutureEvent>, std::greater<>>
+    mFutureEvents;
+  std::vector<int> mSlotsInUse;
   std::vector<double> mLatenciesS;
-  std::vector<double> mRefusalsS;
-  std::uint64_t mOrder = 0;
+  std::vector<double> mRefusalTimesS;
+  std::uint64_t mNextSequenceNumber = 0;
   double mNowS = 0;
   RequestResult mResult;
 };
@@ -243,7 +267,8 @@
             Admission aAdmission,
             Cluster& aCluster)
 {
-  return Run(aDeployment, aRequests, aPolicy, aAdmission, aCluster).Execute();
+  return RequestRun(aDeployment, aRequests, aPolicy, aAdmission, aCluster)
+    .Execute();
 }
 
 } // namespace paddle::bench
--- a/Tests/Bench/RequestRun.h
+++ b/Tests/Bench/RequestRun.h
@@ -11,30 +11,32 @@
 
 namespace paddle::bench {
 
-/// What happened to the requests of a run.
+/// Counts and latencies of the requests of a run.
 struct RequestResult
 {
   std::uint64_t mArrived = 0;
   std::uint64_t mAnsweredInTime = 0;
   std::uint64_t mRefused = 0;
-  std::uint64_t mUnknown = 0;
+  std::uint64_t mUnknown = 0; ///< It is unknown whether they ran.
   double mP50Ms = 0;
-  /// A request without an answer in time counts with its whole deadline.
+  /// A request that was not answered in time counts with its whole deadline,
+  /// here and in mP50Ms.
   double mP99Ms = 0;
-  double mRefusalP99Ms = 0; ///< Time until a refusal was sent.
+  double mRefusalP99Ms = 0; ///< Time from arrival to refusal.
   double mRefusalLongestMs = 0;
-  std::uint64_t mSlotsExceeded = 0; ///< Sends to a runner beyond its slots.
+  std::uint64_t mSlotsExceeded = 0; ///< Requests sent to a full runner.
 };
 
-/// Whether requests that can't be answered in time are refused early.
+/// Whether the router refuses requests early that it can't answer in time.
 enum class Admission
 {
-  None,
-  ByDeadline
+  None,      ///< The router is given ten times the deadline.
+  ByDeadline ///< The router is given the deadline.
 };
 
-/// Sends the requests of a workload through one routing state to runners that
-/// run on the cluster's workers, and moves the cluster along.
+/// Simulates the requests of a workload. One routing state sends them to the
+/// runners, which run on the workers of the cluster. The virtual time of the
+/// cluster is advanced along with the requests.
 RequestResult
 RunRequests(const Deployment& aDeployment,
             const std::vector<BenchRequest>& aRequests,
--- a/Tests/Bench/Scenario.cpp
+++ b/Tests/Bench/Scenario.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
+/// @return a scenario with default load and without faults
 Scenario
-Named(std::string aName)
+MakeNamedScenario(std::string aName)
 {
   Scenario scenario;
   scenario.mName = std::move(aName);
@@ -18,37 +19,37 @@
 MakeScenarios()
 {
   std::vector<Scenario> all;
-  all.push_back(Named("steady"));
+  all.push_back(MakeNamedScenario("steady"));
 
-  Scenario& weekend = all.emplace_back(Named("booking_weekend"));
-  weekend.mRush = { 60, 180 };
-  weekend.mRushLoad = 5 * weekend.mLoad;
+  Scenario& weekend = all.emplace_back(MakeNamedScenario("booking_weekend"));
+  weekend.mPeak = { 60, 180 };
+  weekend.mPeakLoad = 5 * weekend.mBaseLoad;
 
-  Scenario& noise = all.emplace_back(Named("noisy_waves"));
-  noise.mNoise = { 30, 240 };
+  Scenario& noise = all.emplace_back(MakeNamedScenario("noisy_waves"));
+  noise.mNoisyWaves = { 30, 240 };
 
-  Scenario& wrong = all.emplace_back(Named("wrong_declarations"));
-  wrong.mWrongFactor = 5;
+  Scenario& wrong = all.emplace_back(MakeNamedScenario("wrong_declarations"));
+  wrong.mMaxDeclarationError = 5;
 
-  Scenario& bad = all.emplace_back(Named("bad_workers"));
-  bad.mBadWorkers = 4;
+  Scenario& bad = all.emplace_back(MakeNamedScenario("bad_workers"));
+  bad.mFailingWorkerCount = 4;
 
-  Scenario& out = all.emplace_back(Named("data_centre_out"));
-  out.mDataCentreOut = { 80, 160 };
+  Scenario& out = all.emplace_back(MakeNamedScenario("data_centre_out"));
+  out.mDataCentreOutOfService = { 80, 160 };
 
-  Scenario& cancel = all.emplace_back(Named("cancellation_wave"));
-  cancel.mCancelAtS = 120;
+  Scenario& cancel = all.emplace_back(MakeNamedScenario("cancellation_wave"));
+  cancel.mCancellationAtS = 120;
 
-  Scenario& outage = all.emplace_back(Named("store_outage"));
+  Scenario& outage = all.emplace_back(MakeNamedScenario("store_outage"));
   outage.mStoreOutage = { 80, 140 };
 
-  Scenario& overload = all.emplace_back(Named("saturated"));
-  overload.mLoad = 1;
-  overload.mRushLoad = 1;
+  Scenario& overload = all.emplace_back(MakeNamedScenario("saturated"));
+  overload.mBaseLoad = 1;
+  overload.mPeakLoad = 1;
 
-  Scenario& twice = all.emplace_back(Named("overload_2x"));
-  twice.mLoad = 2;
-  twice.mRushLoad = 2;
+  Scenario& twice = all.emplace_back(MakeNamedScenario("overload_2x"));
+  twice.mBaseLoad = 2;
+  twice.mPeakLoad = 2;
   return all;
 }
 
--- a/Tests/Bench/Workload.cpp
+++ b/Tests/Bench/Workload.cpp
@@ -7,18 +7,24 @@
 
 namespace {
 
-constexpr double kMeanServiceS = 0.1;
-constexpr double kServiceSigma = 0.5;
+constexpr double kMeanServiceTimeS = 0.1;
+constexpr double kServiceTimeSigma = 0.5;
 constexpr double kSlotsPerRunner = 8;
-/// Share of the workers' cores that declared batch work asks for.
+/// Cores that the jobs ask for on average outside of waves, as a share of the
+/// workers' cores.
 constexpr double kBatchLoad = 0.8;
-constexpr double kMeanWorkS = 40;
-constexpr double kNoisyShare = 0.1;
-constexpr double kWaveNoisyShare = 0.8;
-constexpr double kWaveFactor = 1.5;
-constexpr int kTeams = 4;
+/// Mean run time of a batch job.
+constexpr double kMeanRunTimeS = 40;
+/// Share of the jobs that interfere strongly with their neighbours, outside of
+/// waves and within them.
+constexpr double kNoisyJobShare = 0.1;
+constexpr double kWaveNoisyJobShare = 0.8;
+/// Factor by which jobs arrive faster during a wave.
+constexpr double kWaveArrivalRateFactor = 1.5;
+constexpr int kTeamCount = 4;
 
-struct Draw
+/// Pseudo-random numbers of several distributions from one engine.
+struct RandomSource
 {
   std::mt19937_64 mEngine;
 
@@ -27,7 +33,8 @@
   {
     return std::exponential_distribution<>(1 / aMean)(mEngine);
   }
-  /// Log-normal with the given mean.
+  /// @param aMean mean of the distribution itself
+  /// @param aSigma standard deviation of its logarithm
   double LogNormal(double aMean, double aSigma)
   {
     return std::lognormal_distribution<>(std::log(aMean) - aSigma * aSigma / 2,
@@ -35,86 +42,101 @@
   }
 };
 
+/// @return whether a wave of noisy jobs arrives at @p aSecond
 bool
-InWave(const Scenario& aScenario, double aSecond)
+InNoisyWave(const Scenario& aScenario, double aSecond)
 {
-  constexpr double kWaveEveryS = 60;
+  constexpr double kWavePeriodS = 60;
   constexpr double kWaveLengthS = 20;
-  return aScenario.mNoise.Contains(aSecond) &&
-         std::fmod(aSecond, kWaveEveryS) < kWaveLengthS;
+  return aScenario.mNoisyWaves.Contains(aSecond) &&
+         std::fmod(aSecond, kWavePeriodS) < kWaveLengthS;
 }
 
+/// @return requests with exponential times between arrivals and log-normal
+///         service times
 std::vector<BenchRequest>
 MakeRequests(const Deployment& aDeployment,
              const Scenario& aScenario,
-             Draw& aDraw)
+             RandomSource& aRandom)
 {
   std::vector<BenchRequest> requests;
-  const double capacity =
-    static_cast<double>(aDeployment.mRunners) * kSlotsPerRunner / kMeanServiceS;
-  // Services are placed during the first seconds.
+  const double capacity = static_cast<double>(aDeployment.mRunnerCount) *
+                          kSlotsPerRunner / kMeanServiceTimeS;
+  // Requests start after 20 s, when the runners have been placed.
   double now = 20;
   for (;;) {
     const double load =
-      aScenario.mRush.Contains(now) ? aScenario.mRushLoad : aScenario.mLoad;
-    now += aDraw.Exponential(1 / (capacity * load));
-    if (now >= kRunS) {
+      aScenario.mPeak.Contains(now) ? aScenario.mPeakLoad : aScenario.mBaseLoad;
+    now += aRandom.Exponential(1 / (capacity * load));
+    if (now >= kRunDurationS) {
       return requests;
     }
-    requests.push_back({ now, aDraw.LogNormal(kMeanServiceS, kServiceSigma) });
+    requests.push_back(
+      { now, aRandom.LogNormal(kMeanServiceTimeS, kServiceTimeSigma) });
   }
 }
 
+/// @param aNumber of the job, for its name and its team
+/// @param aNow its arrival in virtual seconds
 BenchJob
 MakeJob(const Scenario& aScenario,
         std::size_t aNumber,
         double aNow,
-        Draw& aDraw)
+        RandomSource& aRandom)
 {
   BenchJob job;
-  job.mArrivesS = aNow;
+  job.mArrivalS = aNow;
   job.mSpec.mJob = "job-" + std::to_string(aNumber);
-  job.mSpec.mTeam = "team-" + std::to_string(aNumber % kTeams);
+  job.mSpec.mTeam = "team-" + std::to_string(aNumber % kTeamCount);
   job.mSpec.mClass =
-    aDraw.Uniform() < 0.1 ? TaskClass::Urgent : TaskClass::Batch;
-  const double cores = 1 + std::floor(aDraw.Uniform() * 4);
-  job.mUse = { static_cast<std::int64_t>(cores * 1000),
-               static_cast<std::int64_t>(cores * 3000),
-               0 };
-  job.mWorkS = aDraw.LogNormal(kMeanWorkS, 0.6);
-  const bool wave = InWave(aScenario, aNow);
-  const bool noisy = aDraw.Uniform() < (wave ? kWaveNoisyShare : kNoisyShare);
-  job.mNoise = noisy ? 1.0 : 0.1;
-  const double wrong =
-    std::exp((aDraw.Uniform() * 2 - 1) * std::log(aScenario.mWrongFactor));
-  const auto declared = [wrong](std::int64_t aTrue, std::int64_t aMost) {
+    aRandom.Uniform() < 0.1 ? TaskClass::Urgent : TaskClass::Batch;
+  const double cores = 1 + std::floor(aRandom.Uniform() * 4);
+  job.mTrueUse = { static_cast<std::int64_t>(cores * 1000),
+                   static_cast<std::int64_t>(cores * 3000),
+                   0 };
+  job.mTrueRunTimeS = aRandom.LogNormal(kMeanRunTimeS, 0.6);
+  const bool inWave = InNoisyWave(aScenario, aNow);
+  const bool noisy =
+    aRandom.Uniform() < (inWave ? kWaveNoisyJobShare : kNoisyJobShare);
+  job.mNoisyShare = noisy ? 1.0 : 0.1;
+  const double declarationError = std::exp(
+    (aRandom.Uniform() * 2 - 1) * std::log(aScenario.mMaxDeclarationError));
+  const auto declared = [declarationError](std::int64_t aTrue,
+                                           std::int64_t aMaximum) {
     const auto scaled =
-      static_cast<std::int64_t>(static_cast<double>(aTrue) * wrong);
-    return std::clamp(scaled, std::int64_t{ 100 }, aMost);
+      static_cast<std::int64_t>(static_cast<double>(aTrue) * declarationError);
+    return std::clamp(scaled, std::int64_t{ 100 }, aMaximum);
   };
-  job.mSpec.mDeclared = { declared(job.mUse.mMilliCores, 12000),
-                          declared(job.mUse.mMemoryMb, 45000),
+  job.mSpec.mDeclared = { declared(job.mTrueUse.mMilliCores, 12000),
+                          declared(job.mTrueUse.mMemoryMb, 45000),
                           0 };
-  job.mSpec.mExpectedTime =
-    Seconds(static_cast<Seconds::rep>(std::max(1.0, job.mWorkS * wrong)));
-  job.mCancelled = aScenario.mCancelAtS > 0 && aNow < aScenario.mCancelAtS &&
-                   aDraw.Uniform() < 1.0 / 3;
+  job.mSpec.mExpectedTime = Seconds(static_cast<Seconds::rep>(
+    std::max(1.0, job.mTrueRunTimeS * declarationError)));
+  job.mInCancellationWave = aScenario.mCancellationAtS > 0 &&
+                            aNow < aScenario.mCancellationAtS &&
+                            aRandom.Uniform() < 1.0 / 3;
   return job;
 }
 
+/// @return jobs with exponential times between arrivals
 std::vector<BenchJob>
-MakeJobs(const Deployment& aDeployment, const Scenario& aScenario, Draw& aDraw)
+MakeJobs(const Deployment& aDeployment,
+         const Scenario& aScenario,
+         RandomSource& aRandom)
 {
   std::vector<BenchJob> jobs;
-  const double cores = static_cast<double>(aDeployment.mWorkers) *
-                       static_cast<double>(aDeployment.mCores);
+  const double cores = static_cast<double>(aDeployment.mWorkerCount) *
+                       static_cast<double>(aDeployment.mCoresPerWorker);
+  // Jobs use 1 to 4 cores with equal probability.
   constexpr double kMeanCores = 2.5;
-  const double everyS = kMeanCores * kMeanWorkS / (cores * kBatchLoad);
+  const double meanInterarrivalS =
+    kMeanCores * kMeanRunTimeS / (cores * kBatchLoad);
   double now = 5;
-  while (now < kRunS) {
-    jobs.push_back(MakeJob(aScenario, jobs.size(), now, aDraw));
-    const double factor = InWave(aScenario, now) ? kWaveFactor : 1;
-    now += aDraw.Exponential(everyS / factor);
+  while (now < kRunDurationS) {
+    jobs.push_back(MakeJob(aScenario, jobs.size(), now, aRandom));
+    const double factor =
+      InNoisyWave(aScenario, now) ? kWaveArrivalRateFactor : 1;
+    now += aRandom.Exponential(meanInterarrivalS / factor);
   }
   return jobs;
 }
@@ -126,8 +148,8 @@
              const Scenario& aScenario,
              std::uint64_t aSeed)
 {
-  Draw requests{ std::mt19937_64(aSeed) };
-  Draw jobs{ std::mt19937_64(aSeed + 1000003) };
+  RandomSource requests{ std::mt19937_64(aSeed) };
+  RandomSource jobs{ std::mt19937_64(aSeed + 1000003) };
   return { MakeJobs(aDeployment, aScenario, jobs),
            MakeRequests(aDeployment, aScenario, requests) };
 }
--- a/Tests/Bench/Workload.h
+++ b/Tests/Bench/Workload.h
@@ -11,31 +11,33 @@
 
 namespace paddle::bench {
 
-/// A job with what only the model knows about it.
+/// A job, with the true properties that the scheduler has to estimate.
 struct BenchJob
 {
   JobSpec mSpec;
-  Amount mUse;       ///< True use while it runs.
-  double mWorkS = 0; ///< True run time without interference.
-  double mNoise = 0; ///< Share of its cores that disturbs its neighbours.
-  double mArrivesS = 0;
-  bool mCancelled = false; ///< Part of the cancellation wave.
+  Amount mTrueUse;          ///< Resources it uses while it runs.
+  double mTrueRunTimeS = 0; ///< Without interference.
+  /// Share of its cores that interferes with other tasks on the worker.
+  double mNoisyShare = 0;
+  double mArrivalS = 0;
+  bool mInCancellationWave = false; ///< See Scenario.
 };
 
-/// A request with its true service time on an undisturbed worker.
+/// A request.
 struct BenchRequest
 {
-  double mArrivesS = 0;
-  double mServiceS = 0;
+  double mArrivalS = 0;
+  double mServiceS = 0; ///< Service time on a worker without interference.
 };
 
-/// Everything that arrives in one run. The same for every policy.
+/// All jobs and requests of one run. Every policy is given the same ones.
 struct Workload
 {
-  std::vector<BenchJob> mJobs; ///< In order of arrival.
-  std::vector<BenchRequest> mRequests;
+  std::vector<BenchJob> mJobs;         ///< In order of arrival.
+  std::vector<BenchRequest> mRequests; ///< In order of arrival.
 };
 
+/// Generates a random workload; the same arguments give the same workload.
 Workload
 MakeWorkload(const Deployment& aDeployment,
              const Scenario& aScenario,
--- a/Tests/Scenarios/Scripts/DataCentreDrained.lua
+++ b/Tests/Scenarios/Scripts/DataCentreDrained.lua
@@ -1,6 +1,6 @@
 -- Guards against a task that starts in a data centre more than 3 s after an
--- operator has taken it out of service, and against jobs that then start nowhere
--- (guarantee 4). A scheduler is killed meanwhile.
+-- operator has taken it out of service, and against jobs that then start
+-- nowhere (guarantee 4). A scheduler is killed meanwhile.
 -- needs: savorypaddle-scheduler savorypaddle standin-platform standin-worker
 deploy { block = 9, workers = 6, schedulers = 3 }
 submit_jobs("before", 4, 30)
--- a/Tests/Scenarios/Scripts/GatewayKilled.lua
+++ b/Tests/Scenarios/Scripts/GatewayKilled.lua
@@ -1,8 +1,8 @@
 -- Guards against orders that run twice, orders that run although they were
 -- reported as refused, and overcommitted runners after a gateway was killed
--- under load (guarantees 1, 6 and 7). The runners are saturated and hold watches
--- for longer than a takeover takes, so a new owner that ignores the slots of its
--- predecessor's watches would exceed the limit.
+-- under load (guarantees 1, 6 and 7). The runners are saturated and hold
+-- watches for longer than a takeover takes, so a new owner that ignores the
+-- slots of its predecessor's watches would exceed the limit.
 -- needs: savorypaddle-gateway savorypaddle standin-platform standin-runner standin-caller
 deploy { block = 1, runners = 4, gateways = 3,
          runner_arguments = { "--service-ms", "50", "--watch-ms", "8000" } }
--- a/Tests/Scenarios/Scripts/LostStoreAnswers.lua
+++ b/Tests/Scenarios/Scripts/LostStoreAnswers.lua
@@ -1,6 +1,6 @@
--- Guards against a second owner of a shard when answers of the table service are
--- lost after their writes took effect (guarantees 1 and 7). A gateway is killed
--- meanwhile.
+-- Guards against a second owner of a shard when answers of the table service
+-- are lost after their writes took effect (guarantees 1 and 7). A gateway is
+-- killed meanwhile.
 -- needs: savorypaddle-gateway savorypaddle standin-platform standin-runner standin-caller
 deploy { block = 6, runners = 6, gateways = 3 }
 load { rate = 200, seconds = 16, seed = 16, retries = 2 }
--- a/Tests/Scenarios/Scripts/SlowRunners.lua
+++ b/Tests/Scenarios/Scripts/SlowRunners.lua
@@ -1,7 +1,7 @@
 -- Guards against overcommitted runners and orders that run twice when runners
--- become so slow that requests run past their deadlines (guarantees 1, 5 and 7).
--- A request whose caller no longer waits still occupies its slot until it ends
--- at the runner.
+-- become so slow that requests run past their deadlines (guarantees 1, 5 and
+-- 7). A request whose caller no longer waits still occupies its slot until it
+-- ends at the runner.
 -- needs: savorypaddle-gateway savorypaddle standin-platform standin-runner standin-caller
 deploy { block = 11, runners = 4, gateways = 3,
          runner_arguments = { "--service-ms", "30", "--sigma", "0.05" } }
--- a/Tests/Scenarios/Scripts/StandInsSeeFaults.lua
+++ b/Tests/Scenarios/Scripts/StandInsSeeFaults.lua
@@ -1,7 +1,7 @@
 -- Guards against stand-ins that miss a violation, which would let every other
--- scenario pass wrongly. The caller must detect truncated answers and answers to
--- other requests. The runner must detect keys that run twice, requests beyond
--- its slots, and requests that arrive while it leaves.
+-- scenario pass wrongly. The caller must detect truncated answers and answers
+-- to other requests. The runner must detect keys that run twice, requests
+-- beyond its slots, and requests that arrive while it leaves.
 -- needs: standin-platform standin-runner standin-caller
 deploy { block = 0, runners = 2 }
 local seed = 0
--- a/Tests/Scenarios/Vocabulary.lua
+++ b/Tests/Scenarios/Vocabulary.lua
@@ -1,8 +1,9 @@
 -- The functions that scenario scripts call, built upon the functions that
--- Primitives.h registers. Scripts wait for conditions with generous time limits,
--- so that no step depends on the speed of the machine. Every check reads the
--- statistics of the stand-ins (test programs that play the platform, the
--- runners, the workers and the callers), not what savorypaddle says of itself.
+-- Primitives.h registers. Scripts wait for conditions with generous time
+-- limits, so that no step depends on the speed of the machine. Every check
+-- reads the statistics of the stand-ins (test programs that play the platform,
+-- the runners, the workers and the callers), not what savorypaddle says of
+-- itself.
 
 log = primitive.log
 now = primitive.now
@@ -385,9 +386,9 @@
   return counts
 end
 
--- Checks the guarantees that hold for every load: no acknowledged order is lost,
--- no order reported as refused has run, no order runs twice, no caller receives
--- the answer to another request, and no runner exceeds its limits.
+-- Checks the guarantees that hold for every load: no acknowledged order is
+-- lost, no order reported as refused has run, no order runs twice, no caller
+-- receives the answer to another request, and no runner exceeds its limits.
 function expect_guarantees(counts)
   expect_equal(0, counts.lost, "orders answered but never run")
   expect_equal(0, counts.refused_run, "orders refused as not run, yet run")
