--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -15,21 +15,25 @@
 
 namespace {
 
-/// The library has no type for a failure to connect, and its connect() takes
-/// no time-out, so the failure is told by its text. If a later version changes
-/// the text, the request counts as unknown, which is safe.
+/// Recognizes a failure to connect by its message, because cxxtools has no
+/// exception type for it, and its connect() takes no time-out, so that
+/// connecting can't be a step of its own. If a later version of cxxtools
+/// changes the message, such a failure is reported as SendState::Unknown, which
+/// is safe.
 bool
 IsConnectFailure(std::string_view aMessage)
 {
   return aMessage.starts_with("while trying to connect to host");
 }
 
+/// An idle connection of the pool.
 struct Connection
 {
   std::unique_ptr<cxxtools::http::Client> mClient;
   MonotonicTime mLastUsed;
 };
 
+/// Converts a reply of cxxtools.
 HttpReply
 FromLibrary(const cxxtools::http::Reply& aReply)
 {
@@ -42,31 +46,33 @@
   return reply;
 }
 
-/// Percent-encodes a path, because the server side of the library decodes it.
+/// Percent-encodes a path, because the server of cxxtools decodes it.
 std::string
 EncodePath(std::string_view aPath)
 {
-  constexpr std::string_view kPlain = "-._~/!$&'()*+,;=:@";
-  constexpr char kHex[] = "0123456789ABCDEF";
+  constexpr std::string_view kUnescapedCharacters = "-._~/!$&'()*+,;=:@";
+  constexpr char kHexDigits[] = "0123456789ABCDEF";
   std::string encoded;
   for (const char c : aPath) {
     const auto byte = static_cast<unsigned char>(c);
-    if (std::isalnum(byte) || kPlain.find(c) != std::string_view::npos) {
+    if (std::isalnum(byte) ||
+        kUnescapedCharacters.find(c) != std::string_view::npos) {
       encoded += c;
     } else {
       encoded += '%';
-      encoded += kHex[byte >> 4];
-      encoded += kHex[byte & 15];
+      encoded += kHexDigits[byte >> 4];
+      encoded += kHexDigits[byte & 15];
     }
   }
   return encoded;
 }
 
+/// Converts a request to one of cxxtools.
 void
 ToLibrary(const HttpRequest& aRequest, cxxtools::http::Request& aOut)
 {
-  // The library sends separate query parameters with GET only, so they are
-  // part of the URL.
+  // cxxtools sends query parameters that are set separately with GET only, so
+  // the query is appended to the URL.
   std::string url = EncodePath(aRequest.mPath);
   if (!aRequest.mQuery.empty()) {
     url += '?' + aRequest.mQuery;
@@ -87,10 +93,13 @@
   std::mutex mMutex;
   std::map<Endpoint, std::vector<Connection>> mIdle;
 
+  /// Closes the connections to the endpoint that were idle for too long, and
+  /// takes the most recently used one of the others from the pool.
+  /// @return the connection, or null if there is none
   std::unique_ptr<cxxtools::http::Client> TakeIdle(const Endpoint& aEndpoint)
   {
     const MonotonicTime oldest =
-      std::chrono::steady_clock::now() - mSettings.mMaxIdle;
+      std::chrono::steady_clock::now() - mSettings.mMaxIdleTime;
     std::lock_guard lock(mMutex);
     std::vector<Connection>& idle = mIdle[aEndpoint];
     std::erase_if(idle, [&](const Connection& aConnection) {
@@ -105,8 +114,9 @@
     return client;
   }
 
-  void Return(const Endpoint& aEndpoint,
-              std::unique_ptr<cxxtools::http::Client> aClient)
+  /// Puts a connection into the pool, or closes it if the pool is full.
+  void PutIdle(const Endpoint& aEndpoint,
+               std::unique_ptr<cxxtools::http::Client> aClient)
   {
     std::lock_guard lock(mMutex);
     std::vector<Connection>& idle = mIdle[aEndpoint];
@@ -161,7 +171,7 @@
     HttpReply reply = FromLibrary(client->reply());
     if (aUse == ConnectionUse::Reusable &&
         client->reply().header().keepAlive()) {
-      mState->Return(aEndpoint, std::move(client));
+      mState->PutIdle(aEndpoint, std::move(client));
     }
     return reply;
   } catch (const cxxtools::IOTimeout& e) {
--- a/Libraries/LibHttp/HttpClient.h
+++ b/Libraries/LibHttp/HttpClient.h
@@ -8,24 +8,26 @@
 
 namespace paddle {
 
-/// Which connection a request may use. On a connection that has carried a
-/// request before, the HTTP library sends a request again by itself when the
-/// peer closes the connection or does not answer within the time-out. A request
-/// that must not arrive twice needs Fresh.
+/// Which connection a request may use. On a kept-alive connection that has
+/// carried a request before, the HTTP library (cxxtools) sends a request again
+/// by itself if the peer closes the connection or does not answer within the
+/// time-out. A request that must not arrive twice needs Fresh.
 enum class ConnectionUse
 {
-  Fresh,   ///< A new connection that has carried no request.
-  Reusable ///< An idle connection if there is one. The peer may see the
-           ///< request twice, and a failure may take twice the time-out.
+  Fresh,   ///< A new connection, which is closed after the request.
+  Reusable ///< An idle kept-alive connection if there is one. The peer may
+           ///< receive the request twice, and a failure may take twice the
+           ///< time-out.
 };
 
 /// What is known about a request that got no answer.
 enum class SendState
 {
-  NotSent, ///< No byte of the request left: it surely was not run.
-  Unknown  ///< The request may have been run.
+  NotSent, ///< No byte of the request was sent, so the peer can't have run it.
+  Unknown  ///< The peer may have received and run the request.
 };
 
+/// Why a request got no answer.
 struct HttpFailure
 {
   SendState mState = SendState::Unknown;
@@ -35,14 +37,16 @@
 
 struct HttpClientSettings
 {
-  std::string mUserAgent = "savorypaddle"; ///< Daemons append "/MEMBER".
-  Millis mConnectTimeout{ 500 };
-  Millis mMaxIdle{ 10000 }; ///< Older idle connections are closed.
-  unsigned mMaxIdlePerEndpoint = 16;
+  /// Value of the header User-Agent. Daemons append "/" and their member name.
+  std::string mUserAgent = "savorypaddle";
+  Millis mConnectTimeout{ 500 }; ///< Part of the time-out of a request.
+  /// Connections that are idle for longer are closed.
+  Millis mMaxIdleTime{ 10000 };
+  unsigned mMaxIdlePerEndpoint = 16; ///< Idle connections kept per endpoint.
 };
 
-/// Sends requests and pools connections by endpoint. Safe for use from
-/// several threads.
+/// Sends HTTP requests, and keeps a pool of idle connections for each endpoint.
+/// Safe for use from several threads.
 class HttpClient
 {
 public:
@@ -52,8 +56,11 @@
   HttpClient& operator=(const HttpClient&) = delete;
 
   /// Sends a request and waits for the whole answer. After any failure the
-  /// connection is closed and never used again, so a late answer can't reach
-  /// another request.
+  /// connection is closed and never used again, so a late answer can't be taken
+  /// for that of another request.
+  /// @param aTimeout limit of the whole request, connecting included; see
+  ///                 ConnectionUse for an exception
+  /// @return the reply whatever its status, or a failure if there was none
   Outcome<HttpReply, HttpFailure> Execute(const Endpoint& aEndpoint,
                                           const HttpRequest& aRequest,
                                           Millis aTimeout,
--- a/Libraries/LibHttp/HttpMessage.cpp
+++ b/Libraries/LibHttp/HttpMessage.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
+/// Converts an ASCII letter to lower case, whatever the locale.
 char
-Lower(char aChar)
+ToLowerAscii(char aChar)
 {
   return aChar >= 'A' && aChar <= 'Z' ? static_cast<char>(aChar + 32) : aChar;
 }
@@ -46,12 +47,14 @@
 FindHeader(const HttpHeaders& aHeaders, std::string_view aName)
 {
   for (const auto& [name, value] : aHeaders) {
-    const bool same = std::equal(
-      name.begin(),
-      name.end(),
-      aName.begin(),
-      aName.end(),
-      [](char aLeft, char aRight) { return Lower(aLeft) == Lower(aRight); });
+    const bool same =
+      std::equal(name.begin(),
+                 name.end(),
+                 aName.begin(),
+                 aName.end(),
+                 [](char aLeft, char aRight) {
+                   return ToLowerAscii(aLeft) == ToLowerAscii(aRight);
+                 });
     if (same) {
       return value;
     }
--- a/Libraries/LibHttp/HttpMessage.h
+++ b/Libraries/LibHttp/HttpMessage.h
@@ -12,7 +12,7 @@
 
 namespace paddle {
 
-/// An address to connect to or to listen on; the host is an IP number.
+/// An address to connect to or to listen on. mHost is an IP address.
 struct Endpoint
 {
   std::string mHost;
@@ -21,17 +21,20 @@
   auto operator<=>(const Endpoint&) const = default;
 };
 
-/// Parses "ADDRESS:PORT".
+/// Parses "IP:PORT". The port must not be 0. Of the IP address it is only
+/// checked that it is not empty.
 Outcome<Endpoint>
 ParseEndpoint(std::string_view aText);
 
-/// @return "ADDRESS:PORT"
+/// @return the endpoint as "IP:PORT"
 std::string
 ToText(const Endpoint& aEndpoint);
 
+/// Names and values of headers, in the order of the message.
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// @return the value of a header, compared without regard to case, or empty
+/// Finds a header; the case of the name does not matter.
+/// @return the value of the first header with this name, or an empty string
 std::string_view
 FindHeader(const HttpHeaders& aHeaders, std::string_view aName);
 
--- a/Libraries/LibHttp/HttpServer.cpp
+++ b/Libraries/LibHttp/HttpServer.cpp
@@ -19,13 +19,16 @@
 
 using InFlightCount = std::atomic<unsigned>;
 
-/// The library ends threads beyond this number when they have no work. With 5,
-/// a gateway at 2,000 requests a second started a thread for most requests.
-constexpr unsigned kMostIdleThreads = 64;
+/// cxxtools ends threads beyond this number when they are idle. With 5, a
+/// gateway that handled 2,000 requests a second started a new thread for most
+/// of them.
+constexpr unsigned kMaxIdleThreads = 64;
 
-/// Time a finished reply gets to leave the socket before the server stops.
+/// How long the server keeps running after the last handler has returned, so
+/// that the reply is still written to the socket.
 constexpr Millis kFlushMs{ 50 };
 
+/// Converts a request of cxxtools.
 HttpRequest
 FromLibrary(const cxxtools::http::Request& aRequest)
 {
@@ -41,6 +44,7 @@
   return request;
 }
 
+/// Passes one request of cxxtools to the handler, and counts it as in flight.
 class HandlerResponder : public cxxtools::http::Responder
 {
 public:
@@ -68,13 +72,14 @@
   }
 
 private:
+  /// @return the handler's reply, or one with status 500 if it throws
   HttpReply Handle(const HttpRequest& aRequest) const
   {
     try {
       return mHandler(aRequest);
     } catch (const std::exception& e) {
-      // A handler reports its failures as replies; an exception comes from a
-      // library below it, and this connection's caller must still hear of it.
+      // A handler reports its own failures as replies. An exception comes from
+      // a library that it uses, and the client must get a reply then, too.
       LogEvent(LogLevel::Error, "handler_exception", { { "error", e.what() } });
       return HttpReply{ 500, {}, "internal error\n" };
     }
@@ -84,6 +89,7 @@
   InFlightCount& mInFlight;
 };
 
+/// Creates a HandlerResponder for each request, as cxxtools requires.
 class HandlerService : public cxxtools::http::Service
 {
 public:
@@ -144,7 +150,7 @@
 {
   auto state = std::make_unique<State>(std::move(aHandler));
   state->mServer = std::make_unique<cxxtools::http::Server>(state->mLoop);
-  state->mServer->minThreads(std::min(aSettings.mMaxThreads, kMostIdleThreads));
+  state->mServer->minThreads(std::min(aSettings.mMaxThreads, kMaxIdleThreads));
   state->mServer->maxThreads(aSettings.mMaxThreads);
   state->mServer->addService(cxxtools::Regex(".*"), state->mService);
   for (const Endpoint& endpoint : aSettings.mListen) {
@@ -174,7 +180,7 @@
 }
 
 bool
-HttpServer::StopAndDrain(Millis aLimit)
+HttpServer::DrainAndStop(Millis aLimit)
 {
   const MonotonicTime end = std::chrono::steady_clock::now() + aLimit;
   while (InFlight() > 0 && std::chrono::steady_clock::now() < end) {
--- a/Libraries/LibHttp/HttpServer.h
+++ b/Libraries/LibHttp/HttpServer.h
@@ -8,21 +8,22 @@
 
 namespace paddle {
 
-/// Answers one request; called from several threads at once.
+/// Returns the reply to a request. Several threads call it at the same time.
 using HttpHandler = std::function<HttpReply(const HttpRequest&)>;
 
 struct HttpServerSettings
 {
-  std::vector<Endpoint> mListen;
-  unsigned mMaxThreads = 200; ///< One thread per request in progress.
+  std::vector<Endpoint> mListen; ///< Addresses to listen on.
+  unsigned mMaxThreads = 200;    ///< Each request in flight takes one thread.
 };
 
-/// An HTTP server on given addresses. The destructor stops it; use
-/// StopAndDrain() first where requests in flight must be completed.
+/// An HTTP server. The destructor stops it; call DrainAndStop() before if
+/// requests in flight must be completed.
 class HttpServer
 {
 public:
-  /// Starts to listen and to serve in background threads.
+  /// Starts listening, and handles requests in background threads.
+  /// @return the server, or an error if an address can't be listened on
   static Outcome<std::unique_ptr<HttpServer>> Start(
     const HttpServerSettings& aSettings,
     HttpHandler aHandler);
@@ -31,13 +32,13 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// @return number of requests whose handler has not returned
+  /// @return the number of requests whose handler has not returned yet
   [[nodiscard]] unsigned InFlight() const;
 
-  /// Waits until no request is in flight, at most @p aLimit, then stops
-  /// serving. Requests that arrive while waiting are still handled.
-  /// @return whether everything in flight was completed
-  bool StopAndDrain(Millis aLimit);
+  /// Waits until no request is in flight, or until @p aLimit has passed, and
+  /// then stops the server. Requests that arrive during the wait are handled.
+  /// @return whether no request was in flight at the end of the wait
+  bool DrainAndStop(Millis aLimit);
 
 private:
   struct State;
--- a/Libraries/LibRpc/JsonRpcAdapter.cpp
+++ b/Libraries/LibRpc/JsonRpcAdapter.cpp
@@ -15,6 +15,7 @@
   std::map<std::string, JsonRpcMethod> mMethods;
   std::unique_ptr<jsonrpc::IProtocolHandler> mProtocol;
 
+  /// Called by libjsonrpccpp, which encodes the exception as an error.
   void HandleMethodCall(jsonrpc::Procedure& aProcedure,
                         const Json::Value& aInput,
                         Json::Value& aOutput) override
@@ -27,6 +28,7 @@
     aOutput = answer.mResult;
   }
 
+  /// Calls that expect no answer are ignored.
   void HandleNotificationCall(jsonrpc::Procedure&, const Json::Value&) override
   {
   }
@@ -59,6 +61,7 @@
 
 namespace {
 
+/// Lets libjsonrpccpp send a request with a JsonRpcTransport.
 class TransportConnector : public jsonrpc::IClientConnector
 {
 public:
--- a/Libraries/LibRpc/JsonRpcAdapter.h
+++ b/Libraries/LibRpc/JsonRpcAdapter.h
@@ -1,6 +1,8 @@
 #pragma once
 
-// Plain C++14 interface over libjsonrpccpp, usable from any later standard.
+// Interface to libjsonrpccpp for code in later C++ standards: the headers of
+// libjsonrpccpp compile as C++14 at the latest, so this header must be valid
+// C++14 and must not include them.
 
 #include <functional>
 #include <json/value.h>
@@ -9,7 +11,7 @@
 
 namespace paddle {
 
-/// What a method returns: a result, or an error with a code.
+/// The answer to a call: a result, or an error code with a message if mFailed.
 struct JsonRpcAnswer
 {
   bool mFailed = false;
@@ -18,10 +20,11 @@
   Json::Value mResult;
 };
 
-/// Answers one call; gets the method name and its parameter object.
+/// Answers a call; the argument is the parameter object. Several threads call
+/// it at the same time.
 using JsonRpcMethod = std::function<JsonRpcAnswer(const Json::Value&)>;
 
-/// Decodes JSON-RPC 2.0 requests, calls methods and encodes the answers.
+/// Decodes JSON-RPC 2.0 requests, calls the methods and encodes their answers.
 class JsonRpcDispatcher
 {
 public:
@@ -30,10 +33,11 @@
   JsonRpcDispatcher(const JsonRpcDispatcher&) = delete;
   JsonRpcDispatcher& operator=(const JsonRpcDispatcher&) = delete;
 
-  /// Adds a method. All methods are added before the first Handle().
+  /// Adds a method. All methods must be added before the first Handle().
   void Add(const std::string& aName, JsonRpcMethod aMethod);
 
-  /// @return the encoded answer; may be called from several threads
+  /// Answers an encoded request. May be called from several threads.
+  /// @return the encoded answer
   std::string Handle(const std::string& aRequest);
 
 private:
@@ -41,20 +45,27 @@
   std::unique_ptr<State> mState;
 };
 
-/// Sends an encoded request and stores the encoded answer.
-/// @return whether an answer arrived; on failure the text says why
+/// Sends an encoded request and waits for its answer.
+/// @param aAnswer set to the encoded answer, or on failure to an error message
+/// @return whether an answer arrived
 using JsonRpcTransport =
   std::function<bool(const std::string& aRequest, std::string& aAnswer)>;
 
 /// Encodes a call, sends it and decodes its answer.
+/// @return the answer, with kRpcTransportFailed if @p aTransport failed
 JsonRpcAnswer
 CallJsonRpc(const std::string& aMethod,
             const Json::Value& aParameters,
             const JsonRpcTransport& aTransport);
 
-/// Error codes of JSON-RPC 2.0, section 5.1, and our own above them.
+/// @name Error codes of JSON-RPC 2.0 (section 5.1 of its specification). Those
+/// from -32099 to -32000 are reserved for errors that implementations define.
+/// @{
 constexpr int kRpcInvalidParameters = -32602;
+/// No answer arrived. CallJsonRpc() returns it; it is not sent.
 constexpr int kRpcTransportFailed = -32003;
+/// First of the reserved codes; RpcCodeOf() derives its codes from it.
 constexpr int kRpcApplicationError = -32000;
+/// @}
 
 } // namespace paddle
--- a/Libraries/LibRpc/RpcClient.h
+++ b/Libraries/LibRpc/RpcClient.h
@@ -7,11 +7,11 @@
 
 namespace paddle {
 
-/// Calls a method of another process.
-/// @param aUse Fresh where a second delivery of the call would do harm, see
-///             ConnectionUse
-/// @return the result; an error of kind Unavailable if the call surely did
-///         not arrive, Unknown if it may have, else the kind the method gave
+/// Calls a method of another process over HTTP.
+/// @param aUse Fresh if the call must not be delivered twice, see ConnectionUse
+/// @return the result, or an error: of kind Unavailable if the call was not
+///         sent, of kind Unknown if it may have arrived but no reply with
+///         status 200 came back, otherwise of the kind that the method returned
 Outcome<Json::Value>
 CallRpc(HttpClient& aClient,
         const Endpoint& aEndpoint,
--- a/Libraries/LibRpc/RpcError.h
+++ b/Libraries/LibRpc/RpcError.h
@@ -5,15 +5,16 @@
 
 namespace paddle {
 
-/// @return the JSON-RPC error code that carries @p aKind
+/// @return the JSON-RPC error code that stands for @p aKind. These codes count
+///         down from -32010; they are sent to other processes.
 inline int
 RpcCodeOf(ErrorKind aKind)
 {
   return kRpcApplicationError - 10 - static_cast<int>(aKind);
 }
 
-/// @return the kind carried by an error code; codes that are not ours count
-///         as faults of the peer
+/// @return the kind that an error code stands for. A code that RpcCodeOf() does
+///         not return counts as a fault of the peer, of kind Internal.
 inline ErrorKind
 ErrorKindOf(int aCode)
 {
--- a/Libraries/LibRpc/RpcServer.cpp
+++ b/Libraries/LibRpc/RpcServer.cpp
@@ -21,13 +21,14 @@
   return answer;
 }
 
+/// Calls a method, and reports parameters of the wrong type as InvalidInput.
 JsonRpcAnswer
 Invoke(const RpcMethod& aMethod, const Json::Value& aParameters)
 {
   try {
     return ToAnswer(aMethod(aParameters));
   } catch (const Json::Exception& e) {
-    // jsoncpp throws where a member has another type than the method expects.
+    // jsoncpp throws if a member has another type than the method expects.
     return ToAnswer(Error{ ErrorKind::InvalidInput, e.what() });
   }
 }
@@ -35,7 +36,7 @@
 } // namespace
 
 HttpHandler
-MakeRpcHandler(const RpcMethods& aMethods, HttpHandler aOther)
+MakeRpcHandler(const RpcMethods& aMethods, HttpHandler aFallback)
 {
   auto dispatcher = std::make_shared<JsonRpcDispatcher>();
   for (const auto& [name, method] : aMethods) {
@@ -43,15 +44,15 @@
       return Invoke(method, aParameters);
     });
   }
-  return [dispatcher,
-          other = std::move(aOther)](const HttpRequest& aRequest) -> HttpReply {
+  return [dispatcher, fallback = std::move(aFallback)](
+           const HttpRequest& aRequest) -> HttpReply {
     if (aRequest.mPath == kRpcPath) {
       return HttpReply{ 200,
                         { { "Content-Type", "application/json" } },
                         dispatcher->Handle(aRequest.mBody) };
     }
-    if (other) {
-      return other(aRequest);
+    if (fallback) {
+      return fallback(aRequest);
     }
     return HttpReply{ 404, {}, "no such path\n" };
   };
--- a/Libraries/LibTable/HostJson.cpp
+++ b/Libraries/LibTable/HostJson.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
+/// @return the error for a member that is absent or malformed
 Error
-WrongMember(const Json::Value& aHost, const char* aMember)
+MalformedMember(const Json::Value& aHost, const char* aMember)
 {
   const std::string name = aHost.isObject() && aHost["name"].isString()
                              ? aHost["name"].asString()
@@ -19,31 +20,34 @@
                   "\" is absent or malformed" };
 }
 
-/// Text members that every entry has.
-constexpr const char* kRequiredText[] = { "name",       "kind",   "state",
-                                          "dataCentre", "region", "address" };
+/// String members that every entry must have.
+constexpr const char* kRequiredTextMembers[] = { "name",   "kind",
+                                                 "state",  "dataCentre",
+                                                 "region", "address" };
 
-/// Members that only some kinds of entry have.
-constexpr const char* kOptionalText[] = { "rack", "service" };
-constexpr const char* kOptionalNumbers[] = { "cores",
-                                             "memoryMb",
-                                             "accelerators" };
+/// Members that an entry may lack, because they apply to one kind of host only.
+constexpr const char* kOptionalTextMembers[] = { "rack", "service" };
+constexpr const char* kOptionalNumberMembers[] = { "cores",
+                                                   "memoryMb",
+                                                   "accelerators" };
 
-/// @return the first member with a wrong type, or null
+/// @return the name of the first member that is absent although required, has
+///         the wrong type or an unknown value; null if there is none. The
+///         address is only checked to be a string.
 const char*
-FirstWrongMember(const Json::Value& aHost)
+FirstMalformedMember(const Json::Value& aHost)
 {
-  for (const char* member : kRequiredText) {
+  for (const char* member : kRequiredTextMembers) {
     if (!aHost[member].isString()) {
       return member;
     }
   }
-  for (const char* member : kOptionalText) {
+  for (const char* member : kOptionalTextMembers) {
     if (aHost.isMember(member) && !aHost[member].isString()) {
       return member;
     }
   }
-  for (const char* member : kOptionalNumbers) {
+  for (const char* member : kOptionalNumberMembers) {
     if (aHost.isMember(member) && !aHost[member].isUInt()) {
       return member;
     }
@@ -65,12 +69,12 @@
     return Error{ ErrorKind::InvalidInput,
                   "an entry of the host list is not an object" };
   }
-  if (const char* wrong = FirstWrongMember(aHost)) {
-    return WrongMember(aHost, wrong);
+  if (const char* malformed = FirstMalformedMember(aHost)) {
+    return MalformedMember(aHost, malformed);
   }
   const Outcome<Endpoint> address = ParseEndpoint(aHost["address"].asString());
   if (!Succeeded(address)) {
-    return WrongMember(aHost, "address");
+    return MalformedMember(aHost, "address");
   }
   HostEntry host;
   host.mName = aHost["name"].asString();
--- a/Libraries/LibTable/HostList.h
+++ b/Libraries/LibTable/HostList.h
@@ -12,17 +12,18 @@
 
 enum class HostKind
 {
-  Worker,
-  Runner
+  Worker, ///< A host that runs tasks.
+  Runner  ///< An endpoint process that serves the requests of a service.
 };
 
 enum class HostState
 {
-  Live,
-  Leaving
+  Live,   ///< In service.
+  Leaving ///< About to be taken out of service.
 };
 
-/// One entry of the platform's host list. The list lags behind reality.
+/// One entry of the platform's host list. The list may be out of date: a change
+/// of a host appears in it with a delay.
 struct HostEntry
 {
   std::string mName;
@@ -32,15 +33,16 @@
   std::string mDataCentre;
   std::string mRegion;
   std::string mRack;
-  std::string mService;            ///< Runners: the service they belong to.
-  std::uint32_t mCores = 0;        ///< Workers: capacity.
-  std::uint64_t mMemoryMb = 0;     ///< Workers: capacity.
-  std::uint32_t mAccelerators = 0; ///< Workers: capacity.
+  std::string mService;            ///< Only of runners: the service served.
+  std::uint32_t mCores = 0;        ///< Only of workers: total cores.
+  std::uint64_t mMemoryMb = 0;     ///< Only of workers: total memory.
+  std::uint32_t mAccelerators = 0; ///< Only of workers: total number.
 };
 
-/// Access to the platform's host list.
+/// Interface to the platform's host list.
 struct HostListPort
 {
+  /// Returns all entries of the list.
   std::function<Outcome<std::vector<HostEntry>>()> mList;
 };
 
--- a/Libraries/LibTable/RpcObjectPort.cpp
+++ b/Libraries/LibTable/RpcObjectPort.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
+/// @return the error for a result of @p aMethod with absent or mistyped members
 Error
-WrongAnswer(const char* aMethod)
+MalformedAnswer(const char* aMethod)
 {
   return Error{ ErrorKind::Internal,
                 std::string("malformed answer to ") + aMethod };
@@ -45,7 +46,7 @@
   }
   const Json::Value& result = ValueOf(answer);
   if (!result.isObject() || !result["body"].isString()) {
-    return WrongAnswer("object.read");
+    return MalformedAnswer("object.read");
   }
   return result["body"].asString();
 }
@@ -64,12 +65,12 @@
   }
   const Json::Value& result = ValueOf(answer);
   if (!result.isObject() || !result["names"].isArray()) {
-    return WrongAnswer("object.list");
+    return MalformedAnswer("object.list");
   }
   std::vector<std::string> names;
   for (const Json::Value& name : result["names"]) {
     if (!name.isString()) {
-      return WrongAnswer("object.list");
+      return MalformedAnswer("object.list");
     }
     names.push_back(name.asString());
   }
--- a/Libraries/LibTable/RpcPorts.h
+++ b/Libraries/LibTable/RpcPorts.h
@@ -11,25 +11,29 @@
 
 namespace paddle {
 
-/// Where the platform's services answer, and how long to wait for them.
+/// Addresses of the platform's services, and how long a call may take.
 struct PlatformSettings
 {
-  Endpoint mTable;
-  Endpoint mObjects;
-  Endpoint mHosts;
-  Millis mTimeout{ 1000 };
+  Endpoint mTable;         ///< Address of the table service.
+  Endpoint mObjects;       ///< Address of the object store.
+  Endpoint mHosts;         ///< Address of the host list.
+  Millis mTimeout{ 1000 }; ///< How long one call of a port may take.
 };
 
-/// Makes ports that reach the platform over JSON-RPC with the methods
-/// table.read, table.scan, table.transact, object.put, object.read,
-/// object.list and hosts.list.
+/// Creates a port that calls the methods table.read, table.scan and
+/// table.transact of the table service over JSON-RPC.
 /// @param aClient must outlive the port
 TablePort
 MakeRpcTablePort(HttpClient& aClient, const PlatformSettings& aSettings);
 
+/// Creates a port that calls the methods object.put, object.read and
+/// object.list of the object store over JSON-RPC.
+/// @param aClient must outlive the port
 ObjectPort
 MakeRpcObjectPort(HttpClient& aClient, const PlatformSettings& aSettings);
 
+/// Creates a port that calls the method hosts.list over JSON-RPC.
+/// @param aClient must outlive the port
 HostListPort
 MakeRpcHostListPort(HttpClient& aClient, const PlatformSettings& aSettings);
 
--- a/Libraries/LibTable/RpcTablePort.cpp
+++ b/Libraries/LibTable/RpcTablePort.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Reaches the table service; shared by the functions of one port.
+/// Client of the table service over JSON-RPC. The functions of one port share
+/// one instance, so that they share the marker rows of its writes.
 class TableClient
 {
 public:
@@ -17,13 +18,14 @@
     : mClient(aClient)
     , mSettings(aSettings)
   {
-    mTries.mTransact = [this](const TableTransaction& aTransaction,
+    mCalls.mTransact = [this](const TableTransaction& aTransaction,
                               Millis aTimeout) {
-      return TryTransact(aTransaction, aTimeout);
+      return SendTransaction(aTransaction, aTimeout);
     };
-    mTries.mRead = [this](std::span<const std::string> aKeys, Millis aTimeout) {
-      // A connection that got no answer may be silent for good, and so may
-      // other idle ones. What settles a write uses a new connection.
+    mCalls.mRead = [this](std::span<const std::string> aKeys, Millis aTimeout) {
+      // The outcome of a write is read over a new connection: the connection
+      // on which the answer was lost may never carry an answer again, and the
+      // same may be true of the other idle connections.
       return ReadRows(
         "table.read", KeysToJson(aKeys), aTimeout, ConnectionUse::Fresh);
     };
@@ -45,6 +47,7 @@
       "table.scan", parameters, mSettings.mTimeout, ConnectionUse::Reusable);
   }
 
+  /// Commits a transaction, and deletes some expired marker rows with it.
   TransactResult Transact(TableTransaction aTransaction)
   {
     const MonotonicTime now = std::chrono::steady_clock::now();
@@ -54,9 +57,9 @@
     }
     const std::string id = mMarkers.NextId();
     TransactResult result =
-      TransactOnce(mTries, aTransaction, id, mSettings.mTimeout);
+      TransactOnce(mCalls, aTransaction, id, mSettings.mTimeout);
     if (std::holds_alternative<Committed>(result)) {
-      mMarkers.Keep(id, now);
+      mMarkers.Add(id, now);
     } else {
       mMarkers.Restore(expired, now);
     }
@@ -64,6 +67,7 @@
   }
 
 private:
+  /// Calls a method that returns rows.
   Outcome<std::vector<TableRow>> ReadRows(const char* aMethod,
                                           const Json::Value& aParameters,
                                           Millis aTimeout,
@@ -72,16 +76,20 @@
     const Outcome<Json::Value> answer =
       CallRpc(mClient, mSettings.mTable, aMethod, aParameters, aTimeout, aUse);
     if (!Succeeded(answer)) {
-      // A read has no effect, so that a lost answer is a plain failure.
+      // A read has no effect, so a lost answer leaves nothing unknown.
       return Error{ ErrorKind::Unavailable, ErrorOf(answer).mMessage };
     }
     return ParseRows(ValueOf(answer));
   }
 
-  TransactResult TryTransact(const TableTransaction& aTransaction,
-                             Millis aTimeout)
+  /// Sends a transaction once, without determining its outcome if no answer
+  /// arrives.
+  TransactResult SendTransaction(const TableTransaction& aTransaction,
+                                 Millis aTimeout)
   {
-    // A second delivery does no harm: the marker row refuses it.
+    // On a reused connection the HTTP library may send the request twice. The
+    // table service refuses the second delivery, because one condition of the
+    // transaction is that its marker row does not exist.
     const Outcome<Json::Value> answer = CallRpc(mClient,
                                                 mSettings.mTable,
                                                 "table.transact",
@@ -97,7 +105,7 @@
   HttpClient& mClient;
   PlatformSettings mSettings;
   WriteMarkers mMarkers;
-  TableTries mTries;
+  SingleTableCalls mCalls;
 };
 
 } // namespace
@@ -105,7 +113,8 @@
 TablePort
 MakeRpcTablePort(HttpClient& aClient, const PlatformSettings& aSettings)
 {
-  // Shared by the three functions of the port, which are copied freely.
+  // The functions of the port own the client together, because each of them
+  // may be copied and outlive the others.
   const auto client = std::make_shared<TableClient>(aClient, aSettings);
   TablePort port;
   port.mRead = [client](std::span<const std::string> aKeys) {
--- a/Libraries/LibTable/TableJson.cpp
+++ b/Libraries/LibTable/TableJson.cpp
@@ -7,13 +7,15 @@
 
 namespace {
 
+/// @return the error for a part of a message that is absent or mistyped
 Error
-WrongShape(const char* aWhat)
+MalformedPart(const char* aPart)
 {
   return Error{ ErrorKind::Internal,
-                std::string("malformed ") + aWhat + " in a table message" };
+                std::string("malformed ") + aPart + " in a table message" };
 }
 
+/// @return whether @p aRow has the members that rows and conditions share
 bool
 HasRowMembers(const Json::Value& aRow)
 {
@@ -42,13 +44,13 @@
 ParseRows(const Json::Value& aResult)
 {
   if (!aResult.isObject() || !aResult["rows"].isArray()) {
-    return WrongShape("rows");
+    return MalformedPart("rows");
   }
   std::vector<TableRow> rows;
   rows.reserve(aResult["rows"].size());
   for (const Json::Value& row : aResult["rows"]) {
     if (!HasRowMembers(row) || !row["value"].isString()) {
-      return WrongShape("row");
+      return MalformedPart("row");
     }
     rows.push_back({ row["key"].asString(),
                      row["value"].asString(),
@@ -72,12 +74,12 @@
 ParseKeys(const Json::Value& aParameters)
 {
   if (!aParameters.isObject() || !aParameters["keys"].isArray()) {
-    return WrongShape("keys");
+    return MalformedPart("keys");
   }
   std::vector<std::string> keys;
   for (const Json::Value& key : aParameters["keys"]) {
     if (!key.isString()) {
-      return WrongShape("key");
+      return MalformedPart("key");
     }
     keys.push_back(key.asString());
   }
@@ -111,12 +113,12 @@
 {
   if (!aParameters.isObject() || !aParameters["conditions"].isArray() ||
       !aParameters["writes"].isArray()) {
-    return WrongShape("transaction");
+    return MalformedPart("transaction");
   }
   TableTransaction transaction;
   for (const Json::Value& condition : aParameters["conditions"]) {
     if (!HasRowMembers(condition)) {
-      return WrongShape("condition");
+      return MalformedPart("condition");
     }
     transaction.mConditions.push_back(
       { condition["key"].asString(), condition["version"].asUInt64() });
@@ -124,7 +126,7 @@
   for (const Json::Value& write : aParameters["writes"]) {
     if (!write.isObject() || !write["key"].isString() ||
         !(write["value"].isString() || write["value"].isNull())) {
-      return WrongShape("write");
+      return MalformedPart("write");
     }
     std::optional<std::string> value;
     if (write["value"].isString()) {
@@ -154,7 +156,7 @@
 ParseTransactResult(const Json::Value& aResult)
 {
   if (!aResult.isObject() || !aResult["committed"].isBool()) {
-    return WrongShape("transaction result");
+    return MalformedPart("transaction result");
   }
   if (!aResult["committed"].asBool()) {
     Outcome<std::vector<TableRow>> rows = ParseRows(aResult);
@@ -164,7 +166,7 @@
     return Conflict{ std::move(ValueOf(rows)) };
   }
   if (!aResult["version"].isUInt64()) {
-    return WrongShape("version");
+    return MalformedPart("version");
   }
   return Committed{ aResult["version"].asUInt64() };
 }
--- a/Libraries/LibTable/TablePort.h
+++ b/Libraries/LibTable/TablePort.h
@@ -13,8 +13,8 @@
 
 namespace paddle {
 
-/// A row of the table service. Its version rises with each write; version 0
-/// stands for a row that does not exist.
+/// A row of the table service. Each write increases its version. Version 0
+/// means that the row does not exist.
 struct TableRow
 {
   std::string mKey;
@@ -22,57 +22,58 @@
   std::uint64_t mVersion = 0;
 };
 
-/// Requires a row to have exactly this version (0: not to exist).
+/// Requires that a row has exactly this version (0: that it does not exist).
 struct RowCondition
 {
   std::string mKey;
   std::uint64_t mVersion = 0;
 };
 
-/// Sets a row's value, or deletes the row if there is none.
+/// Sets the value of a row, or deletes the row if there is no value.
 struct RowWrite
 {
   std::string mKey;
   std::optional<std::string> mValue;
 };
 
-/// A set of writes that takes effect as a whole, and only if every condition
-/// holds.
+/// Writes that are committed atomically if every condition holds, and not at
+/// all otherwise.
 struct TableTransaction
 {
   std::vector<RowCondition> mConditions;
   std::vector<RowWrite> mWrites;
 };
 
-/// The transaction took effect; its rows now have this version.
+/// The transaction was committed; the rows it wrote now have this version.
 struct Committed
 {
   std::uint64_t mVersion = 0;
 };
 
-/// A condition did not hold and nothing was written; holds the rows that
-/// differ, as they are now.
+/// A condition did not hold, so nothing was written. mRows are the rows whose
+/// version differs from the condition, with their current value and version.
 struct Conflict
 {
   std::vector<TableRow> mRows;
 };
 
-/// Error kinds: Unavailable means surely not written, Unknown means that the
-/// effect could not be determined.
+/// Result of a transaction. An Error of kind Unavailable means that nothing was
+/// written; kind Unknown means that the outcome could not be determined.
 using TransactResult = std::variant<Committed, Conflict, Error>;
 
-/// Access to the platform's transactional table service. All functions may be
-/// called from several threads. Each has its own time-out and returns an
-/// error when the service can't be reached.
+/// Interface to the platform's transactional table service. All functions may
+/// be called from several threads. Each has its own time-out and returns an
+/// error if the service can't be reached.
 struct TablePort
 {
-  /// Reads rows by key; a row that does not exist has version 0.
+  /// Returns the rows of the keys; a row that does not exist has version 0.
   std::function<Outcome<std::vector<TableRow>>(std::span<const std::string>)>
     mRead;
-  /// Reads all rows whose key starts with the prefix, in key order.
+  /// Returns all rows whose key starts with the prefix, in key order.
   std::function<Outcome<std::vector<TableRow>>(std::string_view)> mScan;
-  /// Commits a transaction. An answer that was lost is settled inside, by
-  /// reading the marker row of the write.
+  /// Commits a transaction at most once. If the answer is lost, the port
+  /// determines the outcome from the marker row of the write, see
+  /// TransactOnce().
   std::function<TransactResult(const TableTransaction&)> mTransact;
 };
 
--- a/Libraries/LibTable/TransactionSettler.cpp
+++ b/Libraries/LibTable/TransactionSettler.cpp
@@ -9,16 +9,18 @@
 
 namespace {
 
-/// Pause between tries, so that a service that fails at once is not flooded.
+/// Pause after a failed attempt, so that a service that fails at once is not
+/// flooded with retries.
 constexpr Millis kRetryPauseMs{ 20 };
 
-/// Least time worth giving to a try.
-constexpr Millis kLeastTryMs{ 10 };
+/// The shortest time-out that an attempt is given. If less time is left, no
+/// further attempt is made.
+constexpr Millis kMinAttemptTimeMs{ 10 };
 
-/// Takes the row of the marker out of @p aRows.
-/// @return its version, or 0 if it does not exist
+/// Removes the marker row from @p aRows.
+/// @return the version of the marker row, or 0 if it does not exist
 std::uint64_t
-TakeMarker(std::vector<TableRow>& aRows, const std::string& aMarker)
+ExtractMarkerVersion(std::vector<TableRow>& aRows, const std::string& aMarker)
 {
   const auto found = std::ranges::find(aRows, aMarker, &TableRow::mKey);
   if (found == aRows.end()) {
@@ -29,24 +31,26 @@
   return version;
 }
 
-/// Settles one transaction; see TransactOnce().
+/// Sends one transaction until its outcome is known; see TransactOnce().
 class Settler
 {
 public:
-  Settler(const TableTries& aTries,
+  Settler(const SingleTableCalls& aCalls,
           const TableTransaction& aTransaction,
           const std::string& aWriteId,
           Millis aTimeout)
-    : mTries(aTries)
+    : mCalls(aCalls)
     , mTransaction(aTransaction)
     , mMarker(MarkerKey(aWriteId))
-    , mTryLimit(std::max(aTimeout / 2, kLeastTryMs))
-    , mEnd(std::chrono::steady_clock::now() + aTimeout)
+    , mMaxAttemptTime(std::max(aTimeout / 2, kMinAttemptTimeMs))
+    , mDeadline(std::chrono::steady_clock::now() + aTimeout)
   {
     mTransaction.mConditions.push_back({ mMarker, 0 });
     mTransaction.mWrites.push_back({ mMarker, std::string("1") });
   }
 
+  /// Sends the transaction, determines the outcome after a lost answer, and
+  /// sends it again where that is safe, until the deadline.
   TransactResult Run()
   {
     for (;;) {
@@ -57,7 +61,7 @@
       bool mayResend = false;
       while (!settled && !mayResend) {
         std::this_thread::sleep_for(kRetryPauseMs);
-        if (Left() < kLeastTryMs) {
+        if (TimeLeft() < kMinAttemptTimeMs) {
           return Error{ ErrorKind::Unknown,
                         "the effect of write " + mMarker +
                           " could not be determined: " + mLastFailure };
@@ -71,24 +75,27 @@
   }
 
 private:
-  Millis Left() const
+  Millis TimeLeft() const
   {
-    return std::chrono::duration_cast<Millis>(mEnd -
+    return std::chrono::duration_cast<Millis>(mDeadline -
                                               std::chrono::steady_clock::now());
   }
 
-  Millis TryLimit() const
+  /// @return the time-out of the next attempt
+  Millis AttemptTimeout() const
   {
-    return std::max(std::min(mTryLimit, Left()), kLeastTryMs);
+    return std::max(std::min(mMaxAttemptTime, TimeLeft()), kMinAttemptTimeMs);
   }
 
-  /// @return the final result, or nothing if the effect must be determined
+  /// Sends the transaction once.
+  /// @return the final result, or nothing if the outcome is still unknown
   std::optional<TransactResult> Send()
   {
-    TransactResult result = mTries.mTransact(mTransaction, TryLimit());
+    TransactResult result = mCalls.mTransact(mTransaction, AttemptTimeout());
     if (auto* conflict = std::get_if<Conflict>(&result)) {
-      // An earlier try, or a resend inside the HTTP library, took effect.
-      if (const auto version = TakeMarker(conflict->mRows, mMarker)) {
+      // The marker row exists: an earlier attempt was committed, or the HTTP
+      // library sent this one twice and the first delivery was committed.
+      if (const auto version = ExtractMarkerVersion(conflict->mRows, mMarker)) {
         return Committed{ version };
       }
       return result;
@@ -97,9 +104,9 @@
     if (!error) {
       return result;
     }
-    const bool surelyWithout = error->mKind == ErrorKind::Unavailable ||
-                               error->mKind == ErrorKind::InvalidInput;
-    if (surelyWithout && !mMayHaveArrived) {
+    const bool hadNoEffect = error->mKind == ErrorKind::Unavailable ||
+                             error->mKind == ErrorKind::InvalidInput;
+    if (hadNoEffect && !mMayHaveArrived) {
       return result;
     }
     mMayHaveArrived = true;
@@ -107,24 +114,27 @@
     return std::nullopt;
   }
 
-  /// Reads the marker and the rows of the conditions.
-  /// @param aMayResend set if the write has not taken effect but still may
+  /// Reads the marker row and the rows of the conditions.
+  /// @param aMayResend set if the write was not committed so far but its
+  ///                   conditions still hold, so that it may be sent again
+  /// @return the final result, or nothing if the outcome is still unknown
   std::optional<TransactResult> ReadMarker(bool& aMayResend)
   {
     std::vector<std::string> keys;
     for (const RowCondition& condition : mTransaction.mConditions) {
       keys.push_back(condition.mKey);
     }
-    Outcome<std::vector<TableRow>> read = mTries.mRead(keys, TryLimit());
+    Outcome<std::vector<TableRow>> read = mCalls.mRead(keys, AttemptTimeout());
     if (!Succeeded(read)) {
       mLastFailure = ErrorOf(read).mMessage;
       return std::nullopt;
     }
     std::vector<TableRow>& rows = ValueOf(read);
-    if (const auto version = TakeMarker(rows, mMarker)) {
+    if (const auto version = ExtractMarkerVersion(rows, mMarker)) {
       return Committed{ version };
     }
-    std::erase_if(rows, [this](const TableRow& aRow) { return Holds(aRow); });
+    std::erase_if(
+      rows, [this](const TableRow& aRow) { return MeetsConditions(aRow); });
     if (!rows.empty()) {
       return Conflict{ std::move(rows) };
     }
@@ -132,7 +142,8 @@
     return std::nullopt;
   }
 
-  bool Holds(const TableRow& aRow) const
+  /// @return whether the row has the version that the conditions require of it
+  bool MeetsConditions(const TableRow& aRow) const
   {
     return std::ranges::all_of(mTransaction.mConditions,
                                [&aRow](const RowCondition& aCondition) {
@@ -141,13 +152,13 @@
                                });
   }
 
-  const TableTries& mTries;
+  const SingleTableCalls& mCalls;
   TableTransaction mTransaction;
   std::string mMarker;
-  Millis mTryLimit;
-  MonotonicTime mEnd;
-  bool mMayHaveArrived = false;
-  std::string mLastFailure;
+  Millis mMaxAttemptTime;
+  MonotonicTime mDeadline;
+  bool mMayHaveArrived = false; ///< An earlier attempt may have been committed.
+  std::string mLastFailure;     ///< Message of the last failed call.
 };
 
 } // namespace
@@ -159,12 +170,12 @@
 }
 
 TransactResult
-TransactOnce(const TableTries& aTries,
+TransactOnce(const SingleTableCalls& aCalls,
              const TableTransaction& aTransaction,
              const std::string& aWriteId,
              Millis aTimeout)
 {
-  return Settler(aTries, aTransaction, aWriteId, aTimeout).Run();
+  return Settler(aCalls, aTransaction, aWriteId, aTimeout).Run();
 }
 
 } // namespace paddle
--- a/Libraries/LibTable/WriteMarkers.cpp
+++ b/Libraries/LibTable/WriteMarkers.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-/// A request is not expected to arrive later than this after it was sent. A
-/// marker must outlast every repetition of its write.
-constexpr Seconds kMarkerLifeS{ 600 };
+/// A marker row must exist for as long as a duplicate of its write may arrive.
+/// A request is not expected to arrive later than this after it was sent.
+constexpr Seconds kMarkerLifetimeS{ 600 };
 
-/// Deletions ride on later writes, so that they cost no write of their own.
-/// More than one per write lets a backlog shrink.
-constexpr std::size_t kDeletionsPerWrite = 4;
+/// Expired marker rows are deleted as part of later transactions, so that they
+/// cost no transaction of their own. Each transaction adds one marker row, so
+/// more than one deletion per transaction lets a backlog shrink.
+constexpr std::size_t kMaxDeletionsPerWrite = 4;
 
 } // namespace
 
@@ -31,14 +32,14 @@
 WriteMarkers::NextId()
 {
   std::lock_guard lock(mMutex);
-  return mPrefix + std::to_string(++mNext);
+  return mPrefix + std::to_string(++mLastNumber);
 }
 
 void
-WriteMarkers::Keep(const std::string& aWriteId, MonotonicTime aNow)
+WriteMarkers::Add(const std::string& aWriteId, MonotonicTime aNow)
 {
   std::lock_guard lock(mMutex);
-  mKept.push_back({ MarkerKey(aWriteId), aNow + kMarkerLifeS });
+  mStoredMarkers.push_back({ MarkerKey(aWriteId), aNow + kMarkerLifetimeS });
 }
 
 std::vector<std::string>
@@ -46,10 +47,10 @@
 {
   std::lock_guard lock(mMutex);
   std::vector<std::string> keys;
-  while (keys.size() < kDeletionsPerWrite && !mKept.empty() &&
-         mKept.front().mExpires <= aNow) {
-    keys.push_back(std::move(mKept.front().mKey));
-    mKept.pop_front();
+  while (keys.size() < kMaxDeletionsPerWrite && !mStoredMarkers.empty() &&
+         mStoredMarkers.front().mExpires <= aNow) {
+    keys.push_back(std::move(mStoredMarkers.front().mKey));
+    mStoredMarkers.pop_front();
   }
   return keys;
 }
@@ -59,7 +60,7 @@
 {
   std::lock_guard lock(mMutex);
   for (const std::string& key : aKeys) {
-    mKept.push_front({ key, aNow });
+    mStoredMarkers.push_front({ key, aNow });
   }
 }
 
--- a/Libraries/LibTable/WriteMarkers.h
+++ b/Libraries/LibTable/WriteMarkers.h
@@ -10,23 +10,27 @@
 
 namespace paddle {
 
-/// Issues the identities of one process's writes and remembers which marker
-/// rows may be deleted. Safe for use from several threads.
+/// Issues the ids of the writes of one process, and tracks their marker rows
+/// until these may be deleted. A marker row shows that its write was committed,
+/// see TransactOnce(). Safe for use from several threads.
 class WriteMarkers
 {
 public:
   WriteMarkers();
 
-  /// @return an identity that no other write has
+  /// @return an id that no other write has, of this or another process
   std::string NextId();
 
-  /// Notes that the marker row of a write exists from now on.
-  void Keep(const std::string& aWriteId, MonotonicTime aNow);
+  /// Adds the marker row of a write that was committed.
+  void Add(const std::string& aWriteId, MonotonicTime aNow);
 
-  /// @return keys of some marker rows that are old enough to be deleted. The
-  ///         caller gives them back with Restore() if it did not delete them.
+  /// Stops tracking some expired marker rows, which the caller deletes.
+  /// @return their keys. If the rows could not be deleted, the caller must pass
+  ///         the keys to Restore().
   std::vector<std::string> TakeExpired(MonotonicTime aNow);
 
+  /// Tracks marker rows again that could not be deleted. They count as expired
+  /// at @p aNow already.
   void Restore(const std::vector<std::string>& aKeys, MonotonicTime aNow);
 
 private:
@@ -37,9 +41,9 @@
   };
 
   std::mutex mMutex;
-  std::string mPrefix;
-  std::uint64_t mNext = 0;
-  std::deque<Marker> mKept;
+  std::string mPrefix; ///< Random first part of all ids of this process.
+  std::uint64_t mLastNumber = 0;     ///< Second part of the last id issued.
+  std::deque<Marker> mStoredMarkers; ///< Rows that exist; oldest first.
 };
 
 } // namespace paddle
--- a/Services/Gateway/main.cpp
+++ b/Services/Gateway/main.cpp
@@ -88,7 +88,7 @@
   aGateway.RefuseRequests();
   const bool handedOver = aLease.Leave(kHandOverMs);
   std::this_thread::sleep_for(kFetchGraceMs);
-  const bool drained = aServer.StopAndDrain(kDrainMs);
+  const bool drained = aServer.DrainAndStop(kDrainMs);
   LogEvent(LogLevel::Info,
            "left",
            { { "handed_over", handedOver ? "yes" : "no" },
--- a/Services/Scheduler/main.cpp
+++ b/Services/Scheduler/main.cpp
@@ -113,7 +113,7 @@
   LogEvent(LogLevel::Info, "leaving", { { "signal", signal } });
   scheduler.BeginLeave();
   const bool handedOver = keeper.Leave(kLeaveLimit);
-  ValueOf(server)->StopAndDrain(kLeaveLimit);
+  ValueOf(server)->DrainAndStop(kLeaveLimit);
   // The keeper outlives the scheduler and may still ask.
   keeper.SetQuiescent([](std::string_view) { return true; });
   scheduler.Stop();
--- a/Tests/LibGateway/TestGateway.cpp
+++ b/Tests/LibGateway/TestGateway.cpp
@@ -344,7 +344,7 @@
   gateway->RefuseRequests();
   STRCMP_EQUAL("refused", OutcomeHeader(single.Order()).c_str());
   std::thread opener([&] { gate.Open(); });
-  CHECK_TRUE(gateway.Server().StopAndDrain(Millis(5000)));
+  CHECK_TRUE(gateway.Server().DrainAndStop(Millis(5000)));
   opener.join();
   caller.join();
   STRCMP_EQUAL("whole", reply.mBody.c_str());
--- a/Tests/LibHttp/TestHttpClient.cpp
+++ b/Tests/LibHttp/TestHttpClient.cpp
@@ -20,6 +20,7 @@
 constexpr std::uint16_t kPort = 17311;
 constexpr Millis kTimeout{ 2000 };
 
+/// Starts a server on kPort of the loopback address.
 std::unique_ptr<HttpServer>
 StartServer(HttpHandler aHandler)
 {
@@ -29,19 +30,23 @@
   return std::move(ValueOf(server));
 }
 
-/// A peer that answers the first request it reads and no later one.
-class ClosingPeer
+/// A server that answers the first request it reads, and none of the later
+/// ones. It counts these, to show how often a request without an answer is
+/// sent.
+class SingleReplyPeer
 {
 public:
-  /// What the peer does after it has read a later request.
-  enum class Then
+  /// What the server does with the connection after it has read a later
+  /// request. StaySilent keeps it open.
+  enum class OnLaterRequest
   {
     Close,
     StaySilent
   };
 
-  explicit ClosingPeer(Then aThen = Then::Close)
-    : mThen(aThen)
+  explicit SingleReplyPeer(
+    OnLaterRequest aOnLaterRequest = OnLaterRequest::Close)
+    : mOnLaterRequest(aOnLaterRequest)
     , mListener(socket(AF_INET, SOCK_STREAM, 0))
   {
     const int on = 1;
@@ -57,17 +62,18 @@
     mThread = std::thread([this] { Serve(); });
   }
 
-  /// Stops the peer.
+  /// Stops the server.
   /// @return the number of requests that arrived after the answered one
-  int Arrivals()
+  int StopAndCountLaterRequests()
   {
     shutdown(mListener, SHUT_RDWR);
     mThread.join();
     close(mListener);
-    return mArrivals;
+    return mLaterRequests;
   }
 
 private:
+  /// Accepts connections until the listening socket is shut down.
   void Serve()
   {
     for (;;) {
@@ -80,13 +86,15 @@
     }
   }
 
+  /// Reads requests until the connection is closed. Each read is taken for one
+  /// request, because the requests of these tests are short.
   void ServeConnection(int aConnection)
   {
     char buffer[4096];
     while (read(aConnection, buffer, sizeof buffer) > 0) {
       if (mAnswered) {
-        ++mArrivals;
-        if (mThen == Then::Close) {
+        ++mLaterRequests;
+        if (mOnLaterRequest == OnLaterRequest::Close) {
           return;
         }
         continue;
@@ -99,10 +107,10 @@
     }
   }
 
-  Then mThen;
+  OnLaterRequest mOnLaterRequest;
   int mListener;
   bool mAnswered = false;
-  int mArrivals = 0;
+  int mLaterRequests = 0;
   std::thread mThread;
 };
 
@@ -110,8 +118,8 @@
 
 TEST_GROUP(HttpClient){};
 
-// Guards against a request that is reported as possibly run although no byte
-// of it was sent.
+// Guards against a request that is reported as possibly run although the
+// connection was refused and no byte of it was sent.
 TEST(HttpClient, ReportsRefusedConnectionAsNotSent)
 {
   HttpClient client({});
@@ -121,7 +129,8 @@
   CHECK_TRUE(ErrorOf(reply).mState == SendState::NotSent);
 }
 
-// Guards against paths, queries and bodies that are changed on the way.
+// Guards against methods, paths, queries, headers or bodies that arrive
+// changed, on new connections and on reused ones.
 TEST(HttpClient, CarriesPathQueryHeadersAndBody)
 {
   const auto server = StartServer([](const HttpRequest& aRequest) {
@@ -150,11 +159,12 @@
   }
 }
 
-// Guards against the library's own second send of a request whose connection
-// was closed after the peer had read it: the peer must see it once.
+// Guards against the HTTP library sending a request twice if the peer closes
+// the connection after it has read the request. On a fresh connection the peer
+// must receive it once.
 TEST(HttpClient, SendsOnceOnFreshConnectionThatIsClosedAfterReading)
 {
-  ClosingPeer peer;
+  SingleReplyPeer peer;
   const Endpoint endpoint{ "127.0.0.1", kPort };
   {
     HttpClient client({});
@@ -166,14 +176,15 @@
     CHECK_FALSE(Succeeded(reply));
     CHECK_TRUE(ErrorOf(reply).mState == SendState::Unknown);
   }
-  LONGS_EQUAL(1, peer.Arrivals());
+  LONGS_EQUAL(1, peer.StopAndCountLaterRequests());
 }
 
-// Records why ConnectionUse::Fresh exists: on a connection that has carried a
-// request before, the library sends the request a second time.
+// Shows why ConnectionUse::Fresh is needed: if the peer closes a kept-alive
+// connection that has carried a request before, the HTTP library sends the
+// request a second time by itself. Fails if a later version no longer does.
 TEST(HttpClient, LibraryResendsOnReusedConnection)
 {
-  ClosingPeer peer;
+  SingleReplyPeer peer;
   const Endpoint endpoint{ "127.0.0.1", kPort };
   {
     HttpClient client({});
@@ -183,16 +194,17 @@
     CHECK_FALSE(Succeeded(
       client.Execute(endpoint, order, kTimeout, ConnectionUse::Reusable)));
   }
-  LONGS_EQUAL(2, peer.Arrivals());
+  LONGS_EQUAL(2, peer.StopAndCountLaterRequests());
 }
 
-// Guards against a slot that is taken twice: a request without an answer in
-// time arrives once on a new connection, and twice on a reused one.
-TEST(HttpClient, SendsOnceOnFreshConnectionThatStaysSilent)
+// Guards against a request that takes two slots of a runner because it is sent
+// twice: a request without an answer in time must arrive once on a fresh
+// connection. On a reused one the HTTP library sends it twice.
+TEST(HttpClient, SendsUnansweredRequestOnceOnFreshConnection)
 {
   for (const ConnectionUse use :
        { ConnectionUse::Fresh, ConnectionUse::Reusable }) {
-    ClosingPeer peer(ClosingPeer::Then::StaySilent);
+    SingleReplyPeer peer(SingleReplyPeer::OnLaterRequest::StaySilent);
     const Endpoint endpoint{ "127.0.0.1", kPort };
     {
       HttpClient client({});
@@ -203,11 +215,12 @@
       CHECK_FALSE(Succeeded(reply));
       CHECK_TRUE(ErrorOf(reply).mState == SendState::Unknown);
     }
-    LONGS_EQUAL(use == ConnectionUse::Fresh ? 1 : 2, peer.Arrivals());
+    LONGS_EQUAL(use == ConnectionUse::Fresh ? 1 : 2,
+                peer.StopAndCountLaterRequests());
   }
 }
 
-// Guards against an orderly stop that cuts a request in progress.
+// Guards against a stop of the server that aborts a request in flight.
 TEST(HttpClient, DrainCompletesRequestInFlight)
 {
   std::atomic<bool> entered{ false };
@@ -228,14 +241,15 @@
   while (!entered) {
     std::this_thread::sleep_for(Millis(1));
   }
-  CHECK_TRUE(server->StopAndDrain(Millis(5000)));
+  CHECK_TRUE(server->DrainAndStop(Millis(5000)));
   caller.join();
   STRCMP_EQUAL("whole", body.c_str());
 }
 
 TEST_GROUP(Rpc){};
 
-// Guards against errors that lose their kind between processes.
+// Guards against results that arrive changed, and errors whose kind is lost
+// between processes. A refused connection must be reported as Unavailable.
 TEST(Rpc, CarriesResultsAndErrorKinds)
 {
   RpcMethods methods;
--- a/Tests/LibTable/TestRpcTablePort.cpp
+++ b/Tests/LibTable/TestRpcTablePort.cpp
@@ -14,6 +14,7 @@
 
 constexpr Millis kTimeout{ 2000 };
 
+/// @return a transaction that writes a row if it has version @p aVersion
 TableTransaction
 Put(const std::string& aKey, std::uint64_t aVersion, const std::string& aValue)
 {
@@ -22,6 +23,7 @@
 
 } // namespace
 
+/// A table port of member "one" that calls the platform stand-in over HTTP.
 TEST_GROUP(RpcTablePort)
 {
   const Endpoint mEndpoint{ "127.0.0.1", 20011 };
@@ -39,6 +41,7 @@
     mServer = std::move(ValueOf(server));
   }
 
+  /// @return the value of a row in the table of the stand-in
   std::string ValueAt(const std::string& aKey)
   {
     const std::string keys[] = { aKey };
@@ -46,7 +49,8 @@
   }
 };
 
-// Guards against rows, versions or conditions that are changed on the way.
+// Guards against keys, values, versions or conditions that are not passed
+// correctly between the port and the table service.
 TEST(RpcTablePort, CommitsReadsAndScans)
 {
   const TransactResult first = mPort.mTransact(Put("a/1", 0, "x"));
@@ -64,8 +68,9 @@
   CHECK_EQUAL(0U, ValueOf(read)[1].mVersion);
 }
 
-// Guards against a lost update: the second writer must learn the present row.
-TEST(RpcTablePort, ReportsConflictWithPresentRow)
+// Guards against a lost update: if two writers start from the same version, the
+// second one must get a conflict with the current row, and write nothing.
+TEST(RpcTablePort, ReportsConflictWithCurrentRow)
 {
   mPort.mTransact(Put("a", 0, "x"));
   const TransactResult second = mPort.mTransact(Put("a", 0, "y"));
@@ -76,8 +81,9 @@
   STRCMP_EQUAL("x", ValueAt("a").c_str());
 }
 
-// Guards against a write that is reported as failed, or made twice, because
-// its answer was lost.
+// Guards against a write that is reported as failed, or committed twice,
+// because its answer was lost. The port must find out from the marker row that
+// the write was committed.
 TEST(RpcTablePort, SettlesLostAnswerByMarker)
 {
   mPlatform.mFaults.LoseAnswers(1);
@@ -87,8 +93,9 @@
   CHECK_EQUAL(1U, mPlatform.mTable.Counters().mWrites);
 }
 
-// Guards against a write without conditions that runs twice after its answer
-// was lost.
+// Guards against a write without conditions that is committed twice after its
+// answer was lost: only the marker row tells that the first delivery was
+// committed.
 TEST(RpcTablePort, CommitsUnconditionalWriteOnce)
 {
   mPlatform.mFaults.LoseAnswers(1);
@@ -98,8 +105,8 @@
   CHECK_EQUAL(1U, mPlatform.mTable.Counters().mWrites);
 }
 
-// Guards against an outage that is reported as an unknown effect, which would
-// make callers wait for nothing.
+// Guards against an unknown outcome reported for an outage in which nothing was
+// written: callers would wait for a write that can't have happened.
 TEST(RpcTablePort, ReportsOutageAsUnavailable)
 {
   mPlatform.mFaults.SetOutage(true);
@@ -111,9 +118,9 @@
   CHECK_TRUE(Succeeded(mPort.mScan("a")));
 }
 
-// Guards against "surely not written" for a request that was sent and never
-// answered.
-TEST(RpcTablePort, ReportsSilenceAsUnknown)
+// Guards against reporting that nothing was written (kind Unavailable) for a
+// request that was sent but never answered.
+TEST(RpcTablePort, ReportsMissingAnswerAsUnknown)
 {
   mPlatform.mFaults.CutFrom({ "one" }, CutMode::Silent);
   const TablePort port =
@@ -123,7 +130,8 @@
   mPlatform.mFaults.CutFrom({}, CutMode::Silent);
 }
 
-// Guards against a cut of one member that reaches others, or none.
+// Guards against a stand-in whose fault "cutFrom" does not cut off the member
+// that it names, or also cuts off others.
 TEST(RpcTablePort, CutsOffOneMember)
 {
   HttpClient otherClient({ .mUserAgent = "savorypaddle/other" });
--- a/Tests/LibTable/TestTransactionSettler.cpp
+++ b/Tests/LibTable/TestTransactionSettler.cpp
@@ -9,8 +9,10 @@
 
 namespace {
 
-const Error kLost{ ErrorKind::Unknown, "no answer" };
+/// What a call returns if its answer was lost.
+const Error kLostAnswer{ ErrorKind::Unknown, "no answer" };
 
+/// @return a transaction that writes a row if it has version @p aVersion
 TableTransaction
 Put(const std::string& aKey, std::uint64_t aVersion)
 {
@@ -19,89 +21,96 @@
 
 } // namespace
 
+/// Commits to a table in memory. Tests replace mCalls to lose requests or
+/// answers.
 TEST_GROUP(TransactionSettler)
 {
   MemoryTable mTable;
-  TableTries mTries;
-  int mSent = 0;
+  SingleTableCalls mCalls;
+  int mSent = 0; ///< Number of times that the transaction was sent.
 
   void setup() override
   {
-    mTries.mTransact = [this](const TableTransaction& aTransaction, Millis) {
+    mCalls.mTransact = [this](const TableTransaction& aTransaction, Millis) {
       ++mSent;
       return mTable.Transact(aTransaction);
     };
-    mTries.mRead = [this](std::span<const std::string> aKeys, Millis) {
+    mCalls.mRead = [this](std::span<const std::string> aKeys, Millis) {
       return mTable.Read(aKeys);
     };
   }
 };
 
-// Guards against giving up a write whose first try never arrived.
-TEST(TransactionSettler, ResendsTryThatDidNotArrive)
+// Guards against giving up a write whose first delivery never arrived: without
+// a marker row, it must be sent again.
+TEST(TransactionSettler, ResendsWriteThatDidNotArrive)
 {
-  mTries.mTransact = [this](const TableTransaction& aTransaction,
+  mCalls.mTransact = [this](const TableTransaction& aTransaction,
                             Millis) -> TransactResult {
-    return ++mSent == 1 ? TransactResult(kLost) : mTable.Transact(aTransaction);
+    return ++mSent == 1 ? TransactResult(kLostAnswer)
+                        : mTable.Transact(aTransaction);
   };
   const TransactResult result =
-    TransactOnce(mTries, Put("a", 0), "id", Millis(5000));
+    TransactOnce(mCalls, Put("a", 0), "id", Millis(5000));
   CHECK_TRUE(std::holds_alternative<Committed>(result));
   LONGS_EQUAL(2, mSent);
 }
 
-// Guards against a second effect when a delayed first try arrives before its
-// repetition.
-TEST(TransactionSettler, CountsDelayedFirstTryAsCommitted)
+// Guards against a write that is committed twice, or reported as a conflict, if
+// the delayed first attempt arrives just before the second.
+TEST(TransactionSettler, ReportsDelayedFirstAttemptAsCommitted)
 {
   TableTransaction first;
-  mTries.mTransact = [&](const TableTransaction& aTransaction,
+  mCalls.mTransact = [&](const TableTransaction& aTransaction,
                          Millis) -> TransactResult {
     if (++mSent == 1) {
       first = aTransaction;
-      return kLost;
+      return kLostAnswer;
     }
     mTable.Transact(first);
     return mTable.Transact(aTransaction);
   };
   const TransactResult result = TransactOnce(
-    mTries, { {}, { { "a", std::string("x") } } }, "id", Millis(5000));
+    mCalls, { {}, { { "a", std::string("x") } } }, "id", Millis(5000));
   CHECK_TRUE(std::holds_alternative<Committed>(result));
   CHECK_EQUAL(1U, mTable.Counters().mWrites);
 }
 
-// Guards against waiting for a write whose condition no longer holds.
+// Guards against retrying a write until the time-out although its condition no
+// longer holds: the answer was lost, and another writer changed the row.
 TEST(TransactionSettler, ReportsConflictIfConditionNoLongerHolds)
 {
-  mTries.mTransact = [this](const TableTransaction&, Millis) -> TransactResult {
+  mCalls.mTransact = [this](const TableTransaction&, Millis) -> TransactResult {
     ++mSent;
     mTable.Transact(Put("a", 0));
-    return kLost;
+    return kLostAnswer;
   };
   const TransactResult result =
-    TransactOnce(mTries, Put("a", 0), "id", Millis(5000));
+    TransactOnce(mCalls, Put("a", 0), "id", Millis(5000));
   CHECK_TRUE(std::holds_alternative<Conflict>(result));
   LONGS_EQUAL(1, mSent);
 }
 
-// Guards against "surely not written" after an earlier try may have arrived.
-TEST(TransactionSettler, StaysUnknownIfServiceDisappearsAfterLostAnswer)
+// Guards against reporting that nothing was written (kind Unavailable) because
+// a later attempt was refused, although the first may have been committed.
+TEST(TransactionSettler, ReportsUnknownIfServiceFailsAfterLostAnswer)
 {
-  mTries.mTransact = [this](const TableTransaction&, Millis) -> TransactResult {
-    return ++mSent == 1 ? kLost : Error{ ErrorKind::Unavailable, "down" };
+  mCalls.mTransact = [this](const TableTransaction&, Millis) -> TransactResult {
+    return ++mSent == 1 ? kLostAnswer : Error{ ErrorKind::Unavailable, "down" };
   };
   const TransactResult result =
-    TransactOnce(mTries, Put("a", 0), "id", Millis(100));
+    TransactOnce(mCalls, Put("a", 0), "id", Millis(100));
   CHECK_TRUE(std::get<Error>(result).mKind == ErrorKind::Unknown);
 }
 
-// Guards against an answer "unknown" for a try that surely did not arrive.
+// Guards against reporting an unknown outcome for a first attempt that was
+// refused, so that nothing can have been written.
 TEST(TransactionSettler, ReportsFirstRefusalAsUnavailable)
 {
-  mTries.mTransact = [](const TableTransaction&, Millis) -> TransactResult {
+  mCalls.mTransact = [](const TableTransaction&, Millis) -> TransactResult {
     return Error{ ErrorKind::Unavailable, "refused" };
   };
   const TransactResult result =
-    TransactOnce(mTries, Put("a", 0), "id", Millis(5000));
+    TransactOnce(mCalls, Put("a", 0), "id", Millis(5000));
   CHECK_TRUE(std::get<Error>(result).mKind == ErrorKind::Unavailable);
 }
--- a/Tests/Support/FakeTable.h
+++ b/Tests/Support/FakeTable.h
@@ -11,13 +11,14 @@
 
 namespace paddle {
 
-/// The stand-in's table in this process, with what tests of changes need.
+/// The table of the platform stand-in, in the memory of the test. Tests can run
+/// code just before a transaction, or make transactions fail.
 class FakeTable
 {
 public:
-  PlatformFaults mFaults;
+  PlatformFaults mFaults; ///< Faults of the stand-in that the port obeys.
 
-  /// @return a port to this table, which must outlive it
+  /// @return a port to this table. The table must outlive the port.
   TablePort Port()
   {
     TablePort port = MakeMemoryTablePort(mTable, mFaults, "");
@@ -34,29 +35,33 @@
     return port;
   }
 
-  /// Runs once before the next transaction, for races in one thread.
+  /// Calls @p aHook once, just before the next transaction. With it a test of
+  /// one thread lets another writer change the table between a read and a
+  /// write.
   void BeforeTransact(std::function<void()> aHook)
   {
     std::lock_guard lock(mMutex);
     mBeforeTransact = std::move(aHook);
   }
 
-  /// From now on transactions have no effect and no known outcome.
+  /// Makes all later transactions fail as if the request had been lost: nothing
+  /// is written, and the caller gets an error of kind Unknown.
   void LoseRequests() { mLoseRequests = true; }
 
+  /// Sets the value of a row, without conditions.
   void Put(const std::string& aKey, const std::string& aValue)
   {
     mTable.Transact({ {}, { { aKey, aValue } } });
   }
 
-  /// @return the row's value, empty if there is none
+  /// @return the value of the row, or an empty string if it does not exist
   std::string Value(const std::string& aKey)
   {
     const std::array<std::string, 1> keys{ aKey };
     return mTable.Read(keys).front().mValue;
   }
 
-  /// @return values by key of all rows that begin with the prefix
+  /// @return the values by key of all rows whose key starts with the prefix
   std::map<std::string, std::string> Rows(const std::string& aPrefix = "")
   {
     std::map<std::string, std::string> rows;
@@ -67,6 +72,7 @@
   }
 
 private:
+  /// @return the hook for the next transaction, which is then cleared
   std::function<void()> TakeHook()
   {
     std::lock_guard lock(mMutex);
--- a/Tests/Support/TestMain.cpp
+++ b/Tests/Support/TestMain.cpp
@@ -6,8 +6,9 @@
 int
 main(int aCount, char** aArguments)
 {
-  // The leak check counts caches that cxxtools and log4cplus fill on first use
-  // and that later tests share.
+  // The leak check of CppUTest is off. It would report the caches of cxxtools
+  // and log4cplus as leaks of the test that uses them first, although they are
+  // kept for later tests.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return CommandLineTestRunner::RunAllTests(aCount, aArguments);
 }
