--- a/Services/Gateway/main.cpp
+++ b/Services/Gateway/main.cpp
@@ -101,7 +101,7 @@
   aGateway.RefuseRequests();
   const bool handedOver = aLease.Leave(kHandOverTimeoutMs);
   std::this_thread::sleep_for(kKeyFetchGraceMs);
-  const bool drained = aServer.StopAndDrain(kRequestDrainTimeoutMs);
+  const bool drained = aServer.DrainAndStop(kRequestDrainTimeoutMs);
   LogEvent(LogLevel::Info,
            "left",
            { { "handed_over", handedOver ? "yes" : "no" },
--- a/Services/Scheduler/main.cpp
+++ b/Services/Scheduler/main.cpp
@@ -123,7 +123,7 @@
   LogEvent(LogLevel::Info, "leaving", { { "signal", signal } });
   scheduler.BeginLeave();
   const bool handedOver = keeper.Leave(kLeaveTimeout);
-  ValueOf(server)->StopAndDrain(kLeaveTimeout);
+  ValueOf(server)->DrainAndStop(kLeaveTimeout);
   // The keeper outlives the scheduler and may call this function after the
   // scheduler's end.
   keeper.SetQuiescent([](std::string_view) { return true; });
