--- a/Tests/LibTable/TestRpcTablePort.cpp
+++ b/Tests/LibTable/TestRpcTablePort.cpp
@@ -115,12 +115,12 @@
 // answered.
 TEST(RpcTablePort, ReportsSilenceAsUnknown)
 {
-  mPlatform.mFaults.CutFrom({ "one" }, CutMode::Silent);
+  mPlatform.mFaults.PartitionMembers({ "one" }, PartitionMode::Silent);
   const TablePort port =
     MakeRpcTablePort(mClient, { mEndpoint, mEndpoint, mEndpoint, Millis(300) });
   const TransactResult result = port.mTransact(Put("a", 0, "x"));
   CHECK_TRUE(std::get<Error>(result).mKind == ErrorKind::Unknown);
-  mPlatform.mFaults.CutFrom({}, CutMode::Silent);
+  mPlatform.mFaults.PartitionMembers({}, PartitionMode::Silent);
 }
 
 // Guards against a cut of one member that reaches others, or none.
--- a/Tests/StandIns/Platform/FaultMethods.cpp
+++ b/Tests/StandIns/Platform/FaultMethods.cpp
@@ -9,25 +9,27 @@
 
 namespace {
 
+/// @return the error with which standin.fault rejects invalid parameters
 Error
-Wrong(const std::string& aWhat)
+InvalidFault(const std::string& aWhat)
 {
   return Error{ ErrorKind::InvalidInput, "standin.fault: " + aWhat };
 }
 
 Outcome<Done>
-ApplyCut(Platform& aPlatform, const Json::Value& aFault)
+ApplyPartition(Platform& aPlatform, const Json::Value& aFault)
 {
   const std::string mode = aFault.get("mode", "refuse").asString();
   if (mode != "refuse" && mode != "silent") {
-    return Wrong("mode \"" + mode + "\" is neither \"refuse\" nor \"silent\"");
+    return InvalidFault("mode \"" + mode +
+                        "\" is neither \"refuse\" nor \"silent\"");
   }
   std::vector<std::string> members;
   for (const Json::Value& member : aFault["members"]) {
     members.push_back(member.asString());
   }
-  aPlatform.mFaults.CutFrom(
-    members, mode == "silent" ? CutMode::Silent : CutMode::Refuse);
+  aPlatform.mFaults.PartitionMembers(
+    members, mode == "silent" ? PartitionMode::Silent : PartitionMode::Refuse);
   return Done{};
 }
 
@@ -41,8 +43,8 @@
     return aPlatform.mHosts.Remove(name, now);
   }
   if (state != "live" && state != "leaving") {
-    return Wrong("state \"" + state +
-                 "\" is none of \"live\", \"leaving\" and \"removed\"");
+    return InvalidFault("state \"" + state +
+                        "\" is none of \"live\", \"leaving\" and \"removed\"");
   }
   return aPlatform.mHosts.SetState(
     name, state == "live" ? HostState::Live : HostState::Leaving, now);
@@ -61,12 +63,12 @@
 }
 
 Outcome<Done>
-ApplyOne(Platform& aPlatform,
-         const std::string& aName,
-         const Json::Value& aFault)
+ApplySingleFault(Platform& aPlatform,
+                 const std::string& aName,
+                 const Json::Value& aFault)
 {
   if (!aFault.isObject()) {
-    return Wrong("\"" + aName + "\" is not an object");
+    return InvalidFault("\"" + aName + "\" is not an object");
   }
   if (aName == "outage") {
     aPlatform.mFaults.SetOutage(aFault["on"].asBool());
@@ -81,7 +83,7 @@
     return Done{};
   }
   if (aName == "cutFrom") {
-    return ApplyCut(aPlatform, aFault);
+    return ApplyPartition(aPlatform, aFault);
   }
   if (aName == "host") {
     return ApplyHostState(aPlatform, aFault);
@@ -89,7 +91,7 @@
   if (aName == "addHost") {
     return ApplyHostAddition(aPlatform, aFault);
   }
-  return Wrong("there is no fault \"" + aName + "\"");
+  return InvalidFault("there is no fault \"" + aName + "\"");
 }
 
 } // namespace
@@ -98,7 +100,8 @@
 ApplyFault(Platform& aPlatform, const Json::Value& aParameters)
 {
   for (const std::string& name : aParameters.getMemberNames()) {
-    const Outcome<Done> applied = ApplyOne(aPlatform, name, aParameters[name]);
+    const Outcome<Done> applied =
+      ApplySingleFault(aPlatform, name, aParameters[name]);
     if (!Succeeded(applied)) {
       return ErrorOf(applied);
     }
--- a/Tests/StandIns/Platform/MemoryHosts.cpp
+++ b/Tests/StandIns/Platform/MemoryHosts.cpp
@@ -19,11 +19,11 @@
   std::lock_guard lock(mMutex);
   std::vector<HostEntry> hosts;
   for (auto& [name, changes] : mChanges) {
-    while (changes.size() > 1 && changes[1].mVisible <= aNow) {
+    while (changes.size() > 1 && changes[1].mVisibleFrom <= aNow) {
       changes.erase(changes.begin());
     }
     const Change& visible = changes.front();
-    if (visible.mVisible <= aNow && visible.mEntry) {
+    if (visible.mVisibleFrom <= aNow && visible.mEntry) {
       hosts.push_back(*visible.mEntry);
     }
   }
@@ -35,7 +35,7 @@
 {
   std::lock_guard lock(mMutex);
   const std::string name = aHost.mName;
-  Append(name, std::move(aHost), aNow);
+  AppendChange(name, std::move(aHost), aNow);
 }
 
 Outcome<Done>
@@ -44,12 +44,12 @@
                       MonotonicTime aNow)
 {
   std::lock_guard lock(mMutex);
-  Outcome<HostEntry> host = Newest(aName);
+  Outcome<HostEntry> host = LatestEntry(aName);
   if (!Succeeded(host)) {
     return ErrorOf(host);
   }
   ValueOf(host).mState = aState;
-  Append(std::string(aName), std::move(ValueOf(host)), aNow);
+  AppendChange(std::string(aName), std::move(ValueOf(host)), aNow);
   return Done{};
 }
 
@@ -57,16 +57,16 @@
 MemoryHosts::Remove(std::string_view aName, MonotonicTime aNow)
 {
   std::lock_guard lock(mMutex);
-  const Outcome<HostEntry> host = Newest(aName);
+  const Outcome<HostEntry> host = LatestEntry(aName);
   if (!Succeeded(host)) {
     return ErrorOf(host);
   }
-  Append(std::string(aName), std::nullopt, aNow);
+  AppendChange(std::string(aName), std::nullopt, aNow);
   return Done{};
 }
 
 Outcome<HostEntry>
-MemoryHosts::Newest(std::string_view aName) const
+MemoryHosts::LatestEntry(std::string_view aName) const
 {
   const auto found = mChanges.find(aName);
   if (found == mChanges.end() || !found->second.back().mEntry) {
@@ -77,9 +77,9 @@
 }
 
 void
-MemoryHosts::Append(const std::string& aName,
-                    std::optional<HostEntry> aEntry,
-                    MonotonicTime aNow)
+MemoryHosts::AppendChange(const std::string& aName,
+                          std::optional<HostEntry> aEntry,
+                          MonotonicTime aNow)
 {
   mChanges[aName].push_back({ aNow + mLag, std::move(aEntry) });
 }
--- a/Tests/StandIns/Platform/MemoryObjects.h
+++ b/Tests/StandIns/Platform/MemoryObjects.h
@@ -10,23 +10,25 @@
 
 namespace paddle {
 
-/// How often an object store was used.
+/// Counts of the operations on an object store, reported by standin.stats.
 struct ObjectCounters
 {
-  std::uint64_t mReads = 0; ///< Reads and lists.
-  std::uint64_t mWrites = 0;
+  std::uint64_t mReads = 0;  ///< Calls of Read() and List().
+  std::uint64_t mWrites = 0; ///< Calls of Store().
 };
 
-/// An object store in memory. Safe for use from several threads.
+/// The object store of the platform stand-in, held in memory. Safe for use
+/// from several threads.
 class MemoryObjects
 {
 public:
+  /// Stores an object, or replaces the object of the same name.
   void Store(std::string_view aName, std::string_view aBody);
 
-  /// @return the body, or an error of kind NotFound
+  /// @return the body of the object, or an error of kind NotFound
   Outcome<std::string> Read(std::string_view aName);
 
-  /// @return the names that start with the prefix, in order
+  /// @return the names that start with the prefix, in ascending order
   std::vector<std::string> List(std::string_view aPrefix);
 
   [[nodiscard]] ObjectCounters Counters() const;
--- a/Tests/StandIns/Platform/MemoryPorts.cpp
+++ b/Tests/StandIns/Platform/MemoryPorts.cpp
@@ -7,16 +7,17 @@
 
 namespace {
 
-/// Waits as the faults demand.
-/// @return the failure that the request meets, if any
+/// Waits for the injected delay.
+/// @return the error with which the request fails, or nothing if it is served
 std::optional<Error>
-MeetFaults(const PlatformFaults& aFaults, const std::string& aMember)
+ApplyFaults(const PlatformFaults& aFaults, const std::string& aMember)
 {
   const Millis delay = aFaults.Delay();
   if (delay > Millis(0)) {
     std::this_thread::sleep_for(delay);
   }
-  if (!aFaults.Outage() && aFaults.FateByCut(aMember) == RequestFate::Serve) {
+  if (!aFaults.Outage() &&
+      aFaults.HandlingInPartition(aMember) == RequestHandling::Serve) {
     return std::nullopt;
   }
   return Error{ ErrorKind::Unavailable, "the table service is unavailable" };
@@ -49,24 +50,25 @@
   TablePort port;
   port.mRead =
     [&aTable, &aFaults, aMember](std::span<const std::string> aKeys) -> Rows {
-    if (auto failure = MeetFaults(aFaults, aMember)) {
+    if (auto failure = ApplyFaults(aFaults, aMember)) {
       return *failure;
     }
     return aTable.Read(aKeys);
   };
   port.mScan = [&aTable, &aFaults, aMember](std::string_view aPrefix) -> Rows {
-    if (auto failure = MeetFaults(aFaults, aMember)) {
+    if (auto failure = ApplyFaults(aFaults, aMember)) {
       return *failure;
     }
     return aTable.Scan(aPrefix);
   };
   port.mTransact = [&aTable, &aFaults, aMember](
                      const TableTransaction& aTransaction) -> TransactResult {
-    if (auto failure = MeetFaults(aFaults, aMember)) {
+    if (auto failure = ApplyFaults(aFaults, aMember)) {
       return *failure;
     }
     TransactResult result = aTable.Transact(aTransaction);
-    if (std::holds_alternative<Committed>(result) && aFaults.TakeLostAnswer()) {
+    if (std::holds_alternative<Committed>(result) &&
+        aFaults.ConsumeLostAnswer()) {
       return Error{ ErrorKind::Unknown, "the answer was lost" };
     }
     return result;
--- a/Tests/StandIns/Platform/MemoryPorts.h
+++ b/Tests/StandIns/Platform/MemoryPorts.h
@@ -12,25 +12,30 @@
 
 namespace paddle {
 
-/// Makes a port that uses a table in the same process, without faults.
+/// Makes a port that accesses a table in the same process directly, without
+/// injected faults.
 /// @param aTable must outlive the port
 TablePort
 MakeMemoryTablePort(MemoryTable& aTable);
 
-/// Makes a port that uses a table in the same process and meets the faults.
-/// A lost answer is reported as Unknown, an outage or a cut as Unavailable.
+/// Makes a port that accesses a table in the same process directly, under the
+/// injected faults. A lost answer is reported as an error of kind Unknown, an
+/// outage or a partition as one of kind Unavailable.
 /// @param aTable  must outlive the port
 /// @param aFaults must outlive the port
-/// @param aMember the member that uses the port, for cuts
+/// @param aMember name of the member that uses the port; it decides whether
+///                the partition applies
 TablePort
 MakeMemoryTablePort(MemoryTable& aTable,
                     PlatformFaults& aFaults,
                     const std::string& aMember);
 
+/// Makes a port that accesses an object store in the same process directly.
 /// @param aObjects must outlive the port
 ObjectPort
 MakeMemoryObjectPort(MemoryObjects& aObjects);
 
+/// Makes a port that accesses a host list in the same process directly.
 /// @param aHosts must outlive the port
 HostListPort
 MakeMemoryHostListPort(MemoryHosts& aHosts);
--- a/Tests/StandIns/Platform/PlatformFaults.cpp
+++ b/Tests/StandIns/Platform/PlatformFaults.cpp
@@ -20,29 +20,30 @@
 PlatformFaults::LoseAnswers(unsigned aCount)
 {
   std::lock_guard lock(mMutex);
-  mLostAnswers = aCount;
+  mAnswersToLose = aCount;
 }
 
 void
-PlatformFaults::CutFrom(const std::vector<std::string>& aMembers, CutMode aMode)
+PlatformFaults::PartitionMembers(const std::vector<std::string>& aMembers,
+                                 PartitionMode aMode)
 {
   std::lock_guard lock(mMutex);
-  mCut.clear();
+  mPartitionedMembers.clear();
   for (const std::string& member : aMembers) {
-    mCut.emplace(member, aMode);
+    mPartitionedMembers.emplace(member, aMode);
   }
 }
 
-RequestFate
-PlatformFaults::FateByCut(std::string_view aMember) const
+RequestHandling
+PlatformFaults::HandlingInPartition(std::string_view aMember) const
 {
   std::lock_guard lock(mMutex);
-  const auto found = mCut.find(aMember);
-  if (found == mCut.end()) {
-    return RequestFate::Serve;
+  const auto found = mPartitionedMembers.find(aMember);
+  if (found == mPartitionedMembers.end()) {
+    return RequestHandling::Serve;
   }
-  return found->second == CutMode::Silent ? RequestFate::Silent
-                                          : RequestFate::Refuse;
+  return found->second == PartitionMode::Silent ? RequestHandling::Silent
+                                                : RequestHandling::Refuse;
 }
 
 bool
@@ -60,13 +61,13 @@
 }
 
 bool
-PlatformFaults::TakeLostAnswer()
+PlatformFaults::ConsumeLostAnswer()
 {
   std::lock_guard lock(mMutex);
-  if (mLostAnswers == 0) {
+  if (mAnswersToLose == 0) {
     return false;
   }
-  --mLostAnswers;
+  --mAnswersToLose;
   return true;
 }
 
--- a/Tests/StandIns/Platform/PlatformFaults.h
+++ b/Tests/StandIns/Platform/PlatformFaults.h
@@ -10,54 +10,61 @@
 
 namespace paddle {
 
-/// How requests of a member that is cut off fail.
-enum class CutMode
+/// How requests of a partitioned member fail. They have no effect.
+enum class PartitionMode
 {
-  Refuse, ///< At once, without effect.
-  Silent  ///< Without an answer until the sender gives up; without effect.
+  Refuse, ///< The request fails at once.
+  Silent  ///< The request gets no answer until its sender times out.
 };
 
-/// What a request meets.
-enum class RequestFate
+/// What the stand-in does with a request.
+enum class RequestHandling
 {
-  Serve,
-  Refuse,
-  Silent
+  Serve,  ///< Serves the request.
+  Refuse, ///< Fails the request at once, without effect.
+  Silent  ///< Leaves the request without an answer and without effect.
 };
 
-/// The faults a platform stand-in shows now. Safe for use from several
-/// threads.
+/// The faults that are now injected into a platform stand-in. Safe for use
+/// from several threads.
 class PlatformFaults
 {
 public:
+  /// Starts or ends an outage, during which each request fails as unavailable.
   void SetOutage(bool aOn);
 
-  /// Delays each request before it takes effect.
+  /// Delays each request by @p aDelay before it takes effect.
   void SetDelay(Millis aDelay);
 
-  /// Loses the answers of the next transactions that take effect.
+  /// Drops the answers of the next @p aCount transactions that take effect, so
+  /// that their senders do not know the outcome.
   void LoseAnswers(unsigned aCount);
 
-  /// Cuts off exactly these members; an empty list ends the cut.
-  void CutFrom(const std::vector<std::string>& aMembers, CutMode aMode);
+  /// Simulates a network partition between the platform and exactly these
+  /// members; an empty list ends the partition.
+  void PartitionMembers(const std::vector<std::string>& aMembers,
+                        PartitionMode aMode);
 
-  /// @param aMember name of the sender, empty if it has none
-  /// @return the fate of its requests by the cuts alone
-  [[nodiscard]] RequestFate FateByCut(std::string_view aMember) const;
+  /// @param aMember name of the sender, empty if it is not known
+  /// @return how its requests are handled; only the partition is considered,
+  ///         not an outage
+  [[nodiscard]] RequestHandling HandlingInPartition(
+    std::string_view aMember) const;
 
   [[nodiscard]] bool Outage() const;
 
   [[nodiscard]] Millis Delay() const;
 
-  /// @return whether the answer of a transaction is to be lost; counts down
-  bool TakeLostAnswer();
+  /// Uses up one of the answers that LoseAnswers() announced, if any is left.
+  /// @return whether the answer of the present transaction must be dropped
+  bool ConsumeLostAnswer();
 
 private:
   mutable std::mutex mMutex;
   bool mOutage = false;
   Millis mDelay{ 0 };
-  unsigned mLostAnswers = 0;
-  std::map<std::string, CutMode, std::less<>> mCut;
+  unsigned mAnswersToLose = 0; ///< Still to be dropped.
+  std::map<std::string, PartitionMode, std::less<>> mPartitionedMembers;
 };
 
 } // namespace paddle
--- a/Tests/StandIns/Platform/PlatformService.cpp
+++ b/Tests/StandIns/Platform/PlatformService.cpp
@@ -12,10 +12,11 @@
 
 namespace {
 
-/// Longest time a request of a member that is cut off stays without an
-/// answer; longer than any time-out of the platform's clients, short enough
-/// that the threads of the server suffice.
-constexpr Millis kSilenceMs{ 3000 };
+/// Longest time for which a request of a silently partitioned member stays
+/// without an answer. It is longer than any time-out of the platform's clients,
+/// and short enough that the waiting requests don't use up the server's
+/// threads.
+constexpr Millis kMaxUnansweredTime{ 3000 };
 
 MonotonicTime
 Now()
@@ -54,7 +55,7 @@
   }
   const TransactResult result = aPlatform.mTable.Transact(ValueOf(transaction));
   if (std::holds_alternative<Committed>(result) &&
-      aPlatform.mFaults.TakeLostAnswer()) {
+      aPlatform.mFaults.ConsumeLostAnswer()) {
     return Error{ ErrorKind::Internal, "the answer was lost" };
   }
   return TransactResultToJson(result);
@@ -102,7 +103,7 @@
 
 using PlatformMethod = Outcome<Json::Value> (*)(Platform&, const Json::Value&);
 
-/// @return the method as it behaves under the platform's faults
+/// @return the method with the injected delay and outage in front of it
 RpcMethod
 WithFaults(Platform& aPlatform, PlatformMethod aMethod)
 {
@@ -112,7 +113,8 @@
     if (delay > Millis(0)) {
       std::this_thread::sleep_for(delay);
     }
-    // The cuts of members are handled by the HTTP handler.
+    // MakePlatformHandler() handles the partition, because only the HTTP
+    // request names its sender.
     if (aPlatform.mFaults.Outage()) {
       return Unavailable();
     }
@@ -140,7 +142,8 @@
   return methods;
 }
 
-/// @return the member named by the User-Agent "savorypaddle/MEMBER", or empty
+/// @return the member that the User-Agent header "savorypaddle/MEMBER" names,
+///         or empty if the header has another form
 std::string_view
 SenderOf(const HttpRequest& aRequest)
 {
@@ -150,13 +153,14 @@
                                     : std::string_view();
 }
 
-/// Waits while the sender is cut off, at most kSilenceMs.
+/// Blocks while the sender is silently partitioned, at most for
+/// kMaxUnansweredTime.
 void
-StaySilent(const Platform& aPlatform, std::string_view aSender)
+HoldWhilePartitioned(const Platform& aPlatform, std::string_view aSender)
 {
-  const MonotonicTime end = Now() + kSilenceMs;
-  while (Now() < end &&
-         aPlatform.mFaults.FateByCut(aSender) == RequestFate::Silent) {
+  const MonotonicTime end = Now() + kMaxUnansweredTime;
+  while (Now() < end && aPlatform.mFaults.HandlingInPartition(aSender) ==
+                          RequestHandling::Silent) {
     std::this_thread::sleep_for(Millis(20));
   }
 }
@@ -170,12 +174,13 @@
   return [&aPlatform, rpc](const HttpRequest& aRequest) -> HttpReply {
     const std::string_view sender = SenderOf(aRequest);
     if (!sender.empty()) {
-      const RequestFate fate = aPlatform.mFaults.FateByCut(sender);
-      if (fate == RequestFate::Silent) {
-        StaySilent(aPlatform, sender);
+      const RequestHandling handling =
+        aPlatform.mFaults.HandlingInPartition(sender);
+      if (handling == RequestHandling::Silent) {
+        HoldWhilePartitioned(aPlatform, sender);
         return HttpReply{ 503, {}, "cut off\n" };
       }
-      if (fate == RequestFate::Refuse) {
+      if (handling == RequestHandling::Refuse) {
         return HttpReply{ 503, {}, "cut off\n" };
       }
     }
--- a/Tests/StandIns/Platform/PlatformService.h
+++ b/Tests/StandIns/Platform/PlatformService.h
@@ -12,7 +12,8 @@
 
 namespace paddle {
 
-/// Table service, object store and host list of a stand-in platform.
+/// State of a platform stand-in: table service, object store, host list and the
+/// injected faults.
 struct Platform
 {
   Platform(std::vector<HostEntry> aHosts, Millis aHostLag)
@@ -24,14 +25,16 @@
   MemoryObjects mObjects;
   MemoryHosts mHosts;
   PlatformFaults mFaults;
+  /// Bytes of the request bodies and answer bodies, requests of partitioned
+  /// members excluded.
   std::atomic<std::uint64_t> mBytesIn{ 0 };
   std::atomic<std::uint64_t> mBytesOut{ 0 };
   MonotonicTime mStarted = std::chrono::steady_clock::now();
 };
 
-/// @return a handler that serves the platform's methods and those for faults
-///         and statistics over JSON-RPC
 /// @param aPlatform must outlive the handler
+/// @return a handler that serves the platform's methods, standin.fault and
+///         standin.stats over JSON-RPC
 HttpHandler
 MakePlatformHandler(Platform& aPlatform);
 
