--- a/Tests/StandIns/Worker/Fleet.cpp
+++ b/Tests/StandIns/Worker/Fleet.cpp
@@ -6,12 +6,15 @@
 
 namespace {
 
-/// Age, by the worker's clock, beyond which a start is rejected.
-constexpr std::uint64_t kOldestTokenMs = 2000;
+/// Age of a start's token, by the worker's clock, beyond which the worker
+/// rejects the start.
+constexpr std::uint64_t kMaxTokenAgeMs = 2000;
 
-/// Reported use is that of a moment this long ago.
-constexpr Millis kUsageLag{ 2000 };
+/// Reported resource use is this old: a task that runs for less reports no use
+/// of processors.
+constexpr Millis kUsageReportDelay{ 2000 };
 
+/// @return the time as the reading of a worker's clock, in milliseconds
 std::uint64_t
 ClockMs(MonotonicTime aNow)
 {
@@ -19,15 +22,17 @@
     std::chrono::duration_cast<Millis>(aNow.time_since_epoch()).count());
 }
 
+/// @return the time at which a worker's clock shows @p aClockMs
 MonotonicTime
 TimeAt(std::uint64_t aClockMs)
 {
   return MonotonicTime(Millis(static_cast<std::int64_t>(aClockMs)));
 }
 
-/// @return a number from 0 to 1 that depends on the text and the seed only
+/// Hashes with FNV-1a and a final mix.
+/// @return a number in [0, 1) that depends on the text and the seed only
 double
-Draw(std::uint64_t aSeed, const std::string& aText)
+UniformFromSeed(std::uint64_t aSeed, const std::string& aText)
 {
   std::uint64_t hash = 1469598103934665603ULL ^ aSeed;
   for (const char character : aText) {
@@ -38,14 +43,17 @@
   return static_cast<double>(hash >> 11) / static_cast<double>(1ULL << 53);
 }
 
+/// @return the name "JOB@MILLISECONDS" of a checkpoint with the saved work, or
+///         empty if no work is saved
 std::string
 CheckpointName(const std::string& aJob, Millis aSaved)
 {
   return aSaved.count() == 0 ? "" : aJob + "@" + std::to_string(aSaved.count());
 }
 
+/// @return the work that a checkpoint holds, by its name
 Millis
-ProgressOf(const std::string& aCheckpoint)
+WorkInCheckpoint(const std::string& aCheckpoint)
 {
   const auto at = aCheckpoint.rfind('@');
   return at == std::string::npos
@@ -53,15 +61,19 @@
            : Millis(std::stoll(aCheckpoint.substr(at + 1)));
 }
 
+/// @return the work that the task has done, with that of its checkpoint
 Millis
-DoneBy(const FleetTask& aTask, MonotonicTime aNow)
+WorkDoneAt(const FleetTask& aTask, MonotonicTime aNow)
 {
-  return aTask.mDoneBefore +
+  return aTask.mWorkBeforeStart +
          std::chrono::duration_cast<Millis>(aNow - aTask.mStarted);
 }
 
+/// @return whether a list of {"job", "attempt"} names this attempt of the job
 bool
-Names(const Json::Value& aList, const std::string& aJob, std::uint32_t aAttempt)
+ListsTask(const Json::Value& aList,
+          const std::string& aJob,
+          std::uint32_t aAttempt)
 {
   return std::any_of(
     aList.begin(), aList.end(), [&](const Json::Value& aEntry) {
@@ -70,10 +82,10 @@
     });
 }
 
-/// The part of the worker that its tasks have reserved, the largest of all
-/// resources.
+/// @return the share of the worker's capacity that its tasks have reserved, of
+///         the resource whose share is largest
 double
-Commitment(const FleetWorker& aWorker)
+ReservedShare(const FleetWorker& aWorker)
 {
   double cores = 0;
   double memory = 0;
@@ -123,7 +135,7 @@
   FleetWorker& worker = *found->second;
   const std::uint64_t epoch = aParameters["epoch"].asUInt64();
   if (epoch < worker.mEpoch) {
-    ++mAudit.mOldEpochs;
+    ++mAudit.mStaleEpochCommands;
     return Error{ ErrorKind::Conflict,
                   "epoch " + std::to_string(epoch) + " is older than " +
                     std::to_string(worker.mEpoch) };
@@ -149,16 +161,16 @@
 Fleet::Advance(FleetWorker& aWorker, MonotonicTime aNow)
 {
   std::erase_if(aWorker.mTasks, [&](const FleetTask& aTask) {
-    FleetOutcome outcome{ aTask.mJob, aTask.mAttempt, "ended", "", "" };
+    FleetTaskOutcome outcome{ aTask.mJob, aTask.mAttempt, "ended", "", "" };
     if (std::min(aTask.mWorkEnd, aTask.mLeaseEnd) > aNow) {
       return false;
     }
     if (aTask.mLeaseEnd < aTask.mWorkEnd) {
       outcome.mResult = "stopped";
       outcome.mReason = "its lease was not renewed";
-      outcome.mCheckpoint = CheckpointName(aTask.mJob, aTask.mSaved);
-      ++mAudit.mLapsed;
-    } else if (aTask.mFails) {
+      outcome.mCheckpoint = CheckpointName(aTask.mJob, aTask.mCheckpointedWork);
+      ++mAudit.mExpiredLeases;
+    } else if (aTask.mWillFail) {
       outcome.mResult = "failed";
       outcome.mReason = "exit code 1";
       ++mAudit.mFailed;
@@ -175,29 +187,31 @@
               const Json::Value& aParameters,
               MonotonicTime aNow)
 {
-  // A lease counts from the token's moment, so a renewal that was delayed on
-  // its way does not prolong it.
+  // The lease starts at the time of the token, so that a renewal that was
+  // delayed on the network does not extend it.
   const Json::Value& token = aParameters["token"];
   const Millis lease(aParameters["leaseMs"].asInt64());
   for (FleetTask& task : aWorker.mTasks) {
     if (token["boot"].asUInt64() == aWorker.mBoot &&
-        Names(aParameters["renew"], task.mJob, task.mAttempt)) {
+        ListsTask(aParameters["renew"], task.mJob, task.mAttempt)) {
       task.mLeaseEnd =
         std::max(task.mLeaseEnd, TimeAt(token["clockMs"].asUInt64()) + lease);
     }
   }
-  std::erase_if(aWorker.mOutcomes, [&](const FleetOutcome& aOutcome) {
-    if (!Names(aParameters["acknowledge"], aOutcome.mJob, aOutcome.mAttempt)) {
+  std::erase_if(aWorker.mOutcomes, [&](const FleetTaskOutcome& aOutcome) {
+    if (!ListsTask(
+          aParameters["acknowledge"], aOutcome.mJob, aOutcome.mAttempt)) {
       return false;
     }
     if (aOutcome.mResult == "ended") {
-      mAudit.mEnded.insert(aOutcome.mJob);
+      mAudit.mAcknowledgedJobs.insert(aOutcome.mJob);
     }
     const auto& starts = mAudit.mStartsByJob[aOutcome.mJob];
-    // Once a later attempt runs, what an earlier one saved is too late.
+    // A checkpoint counts only if no later attempt has started, because that
+    // one could not resume from it.
     if (!starts.empty() && starts.back().mAttempt == aOutcome.mAttempt) {
-      Millis& saved = mAudit.mSaved[aOutcome.mJob];
-      saved = std::max(saved, ProgressOf(aOutcome.mCheckpoint));
+      Millis& saved = mAudit.mAcknowledgedWork[aOutcome.mJob];
+      saved = std::max(saved, WorkInCheckpoint(aOutcome.mCheckpoint));
     }
     return true;
   });
@@ -209,7 +223,7 @@
     report["tasks"].append(TaskJson(aWorker, task, aNow));
   }
   report["outcomes"] = Json::Value(Json::arrayValue);
-  for (const FleetOutcome& outcome : aWorker.mOutcomes) {
+  for (const FleetTaskOutcome& outcome : aWorker.mOutcomes) {
     Json::Value shown(Json::objectValue);
     shown["job"] = outcome.mJob;
     shown["attempt"] = outcome.mAttempt;
@@ -230,22 +244,23 @@
   shown["job"] = aTask.mJob;
   shown["attempt"] = aTask.mAttempt;
   shown["reserved"] = aTask.mReserved;
-  const bool measured = aNow - aTask.mStarted >= kUsageLag;
-  const double cores = aTask.mThrottled ? aTask.mCores / 2 : aTask.mCores;
+  const bool measured = aNow - aTask.mStarted >= kUsageReportDelay;
+  const double cores =
+    aTask.mThrottled ? aTask.mCoresUsed / 2 : aTask.mCoresUsed;
   shown["used"]["milliCores"] =
     Json::Int64(measured ? static_cast<std::int64_t>(cores * 1000) : 0);
   shown["used"]["memoryMb"] = aTask.mReserved["memoryMb"];
   shown["used"]["accelerators"] = aTask.mReserved["accelerators"];
-  shown["checkpoint"] = CheckpointName(aTask.mJob, aTask.mSaved);
+  shown["checkpoint"] = CheckpointName(aTask.mJob, aTask.mCheckpointedWork);
   shown["sinceCheckpointMs"] =
-    Json::Int64((DoneBy(aTask, aNow) - aTask.mSaved).count());
+    Json::Int64((WorkDoneAt(aTask, aNow) - aTask.mCheckpointedWork).count());
   double others = 0;
   for (const FleetTask& other : aWorker.mTasks) {
     others += other.mClass == "service" ? 0
-              : other.mThrottled        ? other.mCores / 2
-                                        : other.mCores;
+              : other.mThrottled        ? other.mCoresUsed / 2
+                                        : other.mCoresUsed;
   }
-  // Services slow down as batch work fills the worker.
+  // The latency of a service rises with the load of batch tasks on its worker.
   const double load =
     aWorker.mHost.mCores > 0 ? others / aWorker.mHost.mCores : 0;
   shown["latencyRatio"] = aTask.mClass == "service" ? 0.4 + load * 0.8 : 0.0;
@@ -263,37 +278,38 @@
   task.mAttempt = aStart["attempt"].asUInt();
   task.mClass = aStart["class"].asString();
   task.mReserved = aStart["reserved"];
-  // From a third to twice what was expected, and from half to one and a half
-  // times the reserved processors.
-  const double timeFactor = 0.33 + 1.67 * Draw(mSeed, task.mJob + "/time");
-  const double useFactor = 0.5 + Draw(mSeed, task.mJob + "/use");
-  task.mCores = task.mReserved["milliCores"].asDouble() / 1000 * useFactor;
+  // The true run time is 0.33 to 2 times the expected one, and the true use of
+  // processors 0.5 to 1.5 times the reserved one.
+  const double timeFactor =
+    0.33 + 1.67 * UniformFromSeed(mSeed, task.mJob + "/time");
+  const double useFactor = 0.5 + UniformFromSeed(mSeed, task.mJob + "/use");
+  task.mCoresUsed = task.mReserved["milliCores"].asDouble() / 1000 * useFactor;
   task.mStarted = aNow;
   task.mLeaseEnd = TimeAt(aStart["token"]["clockMs"].asUInt64()) + aLease;
-  task.mDoneBefore = ProgressOf(aStart["checkpoint"].asString());
-  task.mSaved = task.mDoneBefore;
-  task.mFails = aWorker.mFaults.mFailsAll;
+  task.mWorkBeforeStart = WorkInCheckpoint(aStart["checkpoint"].asString());
+  task.mCheckpointedWork = task.mWorkBeforeStart;
+  task.mWillFail = aWorker.mFaults.mFailAllTasks;
   const Millis work(static_cast<std::int64_t>(
     timeFactor * 1000 * aStart["expectedSeconds"].asDouble() / mSpeed));
-  task.mWorkEnd = task.mFails ? aNow + Millis(50)
+  task.mWorkEnd = task.mWillFail ? aNow + Millis(50)
                   : task.mClass == "service"
                     ? MonotonicTime::max()
-                    : aNow + std::max(Millis(1), work - task.mDoneBefore);
+                    : aNow + std::max(Millis(1), work - task.mWorkBeforeStart);
   return task;
 }
 
 void
-Fleet::CheckPlaces(const FleetWorker& aWorker,
-                   const std::string& aJob,
-                   MonotonicTime aNow)
+Fleet::CheckNotRunningElsewhere(const FleetWorker& aWorker,
+                                const std::string& aJob,
+                                MonotonicTime aNow)
 {
-  for (FleetWorker* place : mPlaces[aJob]) {
-    Advance(*place, aNow);
-    for (const FleetTask& task : place->mTasks) {
+  for (FleetWorker* otherWorker : mWorkersByJob[aJob]) {
+    Advance(*otherWorker, aNow);
+    for (const FleetTask& task : otherWorker->mTasks) {
       if (task.mJob == aJob) {
-        ++mAudit.mTwoPlaces;
+        ++mAudit.mConcurrentRuns;
         AddViolation(mAudit,
-                     aJob + " runs on " + place->mHost.mName + " and " +
+                     aJob + " runs on " + otherWorker->mHost.mName + " and " +
                        aWorker.mHost.mName);
       }
     }
@@ -301,39 +317,40 @@
 }
 
 Json::Value
-Fleet::StartOne(FleetWorker& aWorker,
-                const Json::Value& aStart,
-                Millis aLease,
-                std::uint64_t aEpoch,
-                MonotonicTime aNow)
+Fleet::StartFleetTask(FleetWorker& aWorker,
+                      const Json::Value& aStart,
+                      Millis aLease,
+                      std::uint64_t aEpoch,
+                      MonotonicTime aNow)
 {
   Json::Value answer(Json::objectValue);
   const Json::Value& token = aStart["token"];
   answer["accepted"] =
     token["boot"].asUInt64() == aWorker.mBoot &&
-    token["clockMs"].asUInt64() + kOldestTokenMs >= ClockMs(aNow);
+    token["clockMs"].asUInt64() + kMaxTokenAgeMs >= ClockMs(aNow);
   answer["clockMs"] = Json::UInt64(ClockMs(aNow));
   if (!answer["accepted"].asBool()) {
-    ++mAudit.mRejected;
+    ++mAudit.mRejectedStarts;
     answer["reason"] = "the token is too old";
     return answer;
   }
   const FleetTask task = MakeTask(aWorker, aStart, aLease, aNow);
-  CheckPlaces(aWorker, task.mJob, aNow);
-  mPlaces[task.mJob].insert(&aWorker);
+  CheckNotRunningElsewhere(aWorker, task.mJob, aNow);
+  mWorkersByJob[task.mJob].insert(&aWorker);
   AuditStart(mAudit,
              task.mJob,
              { aWorker.mHost.mName,
                aEpoch,
                task.mAttempt,
                aStart["checkpoint"].asString() },
-             task.mDoneBefore,
+             task.mWorkBeforeStart,
              aWorker.mHost.mDataCentre,
              aNow);
   aWorker.mTasks.push_back(task);
-  const double commitment = Commitment(aWorker);
-  mAudit.mHighestCommitment = std::max(mAudit.mHighestCommitment, commitment);
-  if (commitment > 1) {
+  const double reservedShare = ReservedShare(aWorker);
+  mAudit.mHighestReservedShare =
+    std::max(mAudit.mHighestReservedShare, reservedShare);
+  if (reservedShare > 1) {
     ++mAudit.mCapacityViolations;
     AddViolation(mAudit,
                  aWorker.mHost.mName + " is committed beyond its capacity");
@@ -349,11 +366,12 @@
   Json::Value result(Json::objectValue);
   result["answers"] = Json::Value(Json::arrayValue);
   for (const Json::Value& start : aParameters["starts"]) {
-    result["answers"].append(StartOne(aWorker,
-                                      start,
-                                      Millis(aParameters["leaseMs"].asInt64()),
-                                      aParameters["epoch"].asUInt64(),
-                                      aNow));
+    result["answers"].append(
+      StartFleetTask(aWorker,
+                     start,
+                     Millis(aParameters["leaseMs"].asInt64()),
+                     aParameters["epoch"].asUInt64(),
+                     aNow));
   }
   return result;
 }
@@ -362,15 +380,16 @@
 Fleet::Stop(FleetWorker& aWorker, const Json::Value& aParameters, MonotonicTime)
 {
   std::erase_if(aWorker.mTasks, [&](const FleetTask& aTask) {
-    if (!Names(aParameters["tasks"], aTask.mJob, aTask.mAttempt)) {
+    if (!ListsTask(aParameters["tasks"], aTask.mJob, aTask.mAttempt)) {
       return false;
     }
     ++mAudit.mStopped;
-    aWorker.mOutcomes.push_back({ aTask.mJob,
-                                  aTask.mAttempt,
-                                  "stopped",
-                                  CheckpointName(aTask.mJob, aTask.mSaved),
-                                  "stopped by command" });
+    aWorker.mOutcomes.push_back(
+      { aTask.mJob,
+        aTask.mAttempt,
+        "stopped",
+        CheckpointName(aTask.mJob, aTask.mCheckpointedWork),
+        "stopped by command" });
     return true;
   });
   return Json::Value(Json::objectValue);
@@ -382,8 +401,8 @@
                   MonotonicTime aNow)
 {
   for (FleetTask& task : aWorker.mTasks) {
-    if (Names(aParameters["tasks"], task.mJob, task.mAttempt)) {
-      task.mSaved = DoneBy(task, aNow);
+    if (ListsTask(aParameters["tasks"], task.mJob, task.mAttempt)) {
+      task.mCheckpointedWork = WorkDoneAt(task, aNow);
     }
   }
   return Json::Value(Json::objectValue);
@@ -395,33 +414,33 @@
                 MonotonicTime)
 {
   for (FleetTask& task : aWorker.mTasks) {
-    if (Names(aParameters["tasks"], task.mJob, task.mAttempt)) {
+    if (ListsTask(aParameters["tasks"], task.mJob, task.mAttempt)) {
       task.mThrottled = aParameters["throttled"].asBool();
     }
   }
   return Json::Value(Json::objectValue);
 }
 
-Fleet::Treatment
-Fleet::TreatmentOf(const std::string& aAddress,
-                   std::string_view aMember,
-                   MonotonicTime aNow)
+Fleet::FaultEffects
+Fleet::FaultEffectsOf(const std::string& aAddress,
+                      std::string_view aMember,
+                      MonotonicTime aNow)
 {
   const std::lock_guard lock(mMutex);
-  Treatment treatment;
-  treatment.mSilent = mCut.count(aMember) != 0;
+  FaultEffects effects;
+  effects.mSilent = mPartitionedMembers.count(aMember) != 0;
   const auto found = mByAddress.find(aAddress);
   if (found == mByAddress.end()) {
-    return treatment;
+    return effects;
   }
   WorkerFaults& faults = found->second->mFaults;
-  treatment.mSilent = treatment.mSilent || faults.mSilentUntil > aNow;
-  treatment.mDelay = faults.mDelay;
-  if (!treatment.mSilent && faults.mLoseAnswers > 0) {
-    --faults.mLoseAnswers;
-    treatment.mLoseAnswer = true;
+  effects.mSilent = effects.mSilent || faults.mSilentUntil > aNow;
+  effects.mDelay = faults.mDelay;
+  if (!effects.mSilent && faults.mAnswersToLose > 0) {
+    --faults.mAnswersToLose;
+    effects.mLoseAnswer = true;
   }
-  return treatment;
+  return effects;
 }
 
 Outcome<Json::Value>
@@ -429,16 +448,16 @@
 {
   const std::lock_guard lock(mMutex);
   if (aParameters.isMember("cutFrom")) {
-    mCut.clear();
+    mPartitionedMembers.clear();
     for (const Json::Value& member : aParameters["cutFrom"]["members"]) {
-      mCut.insert(member.asString());
+      mPartitionedMembers.insert(member.asString());
     }
   }
   if (aParameters.isMember("dataCentreOut")) {
-    mAudit.mOutSince[aParameters["dataCentreOut"].asString()] = aNow;
+    mAudit.mOutOfServiceSince[aParameters["dataCentreOut"].asString()] = aNow;
   }
   if (aParameters.isMember("dataCentreIn")) {
-    mAudit.mOutSince.erase(aParameters["dataCentreIn"].asString());
+    mAudit.mOutOfServiceSince.erase(aParameters["dataCentreIn"].asString());
   }
   const std::string name = aParameters["worker"].asString();
   bool found = name.empty();
@@ -448,11 +467,12 @@
     }
     found = true;
     WorkerFaults& faults = worker.mFaults;
-    faults.mFailsAll = aParameters.get("failAll", faults.mFailsAll).asBool();
+    faults.mFailAllTasks =
+      aParameters.get("failAll", faults.mFailAllTasks).asBool();
     faults.mDelay = Millis(
       aParameters.get("delayMs", Json::Int64(faults.mDelay.count())).asInt64());
-    faults.mLoseAnswers =
-      aParameters.get("loseAnswers", faults.mLoseAnswers).asUInt();
+    faults.mAnswersToLose =
+      aParameters.get("loseAnswers", faults.mAnswersToLose).asUInt();
     if (aParameters.isMember("silentMs")) {
       faults.mSilentUntil = aNow + Millis(aParameters["silentMs"].asInt64());
     }
--- a/Tests/StandIns/Worker/FleetAudit.cpp
+++ b/Tests/StandIns/Worker/FleetAudit.cpp
@@ -7,8 +7,8 @@
 void
 AddViolation(FleetAudit& aAudit, const std::string& aText)
 {
-  constexpr std::size_t kMostKept = 20;
-  if (aAudit.mViolations.size() < kMostKept) {
+  constexpr std::size_t kMaxViolations = 20;
+  if (aAudit.mViolations.size() < kMaxViolations) {
     aAudit.mViolations.push_back(aText);
   }
 }
@@ -17,7 +17,7 @@
 AuditStart(FleetAudit& aAudit,
            const std::string& aJob,
            const StartRecord& aStart,
-           Millis aProgress,
+           Millis aWorkInCheckpoint,
            const std::string& aDataCentre,
            MonotonicTime aNow)
 {
@@ -31,18 +31,20 @@
     ++aAudit.mRepeatedAttempts;
     AddViolation(aAudit, aJob + " started twice with one attempt");
   }
-  if (aAudit.mEnded.count(aJob) != 0) {
+  if (aAudit.mAcknowledgedJobs.count(aJob) != 0) {
     ++aAudit.mStartsAfterEnd;
     AddViolation(aAudit, aJob + " started after its acknowledged end");
   }
-  const auto saved = aAudit.mSaved.find(aJob);
-  if (saved != aAudit.mSaved.end() && aProgress < saved->second) {
-    ++aAudit.mOldCheckpoints;
+  const auto saved = aAudit.mAcknowledgedWork.find(aJob);
+  if (saved != aAudit.mAcknowledgedWork.end() &&
+      aWorkInCheckpoint < saved->second) {
+    ++aAudit.mStaleCheckpoints;
     AddViolation(aAudit, aJob + " resumed from an old checkpoint");
   }
-  const auto out = aAudit.mOutSince.find(aDataCentre);
-  if (out != aAudit.mOutSince.end() && aNow - out->second > kOutGrace) {
-    ++aAudit.mStartsWhileOut;
+  const auto out = aAudit.mOutOfServiceSince.find(aDataCentre);
+  if (out != aAudit.mOutOfServiceSince.end() &&
+      aNow - out->second > kOutOfServiceGrace) {
+    ++aAudit.mStartsOutOfService;
     AddViolation(aAudit, aJob + " started in " + aDataCentre + " while out");
   }
   ++aAudit.mStarts;
@@ -54,20 +56,20 @@
 {
   Json::Value stats(Json::objectValue);
   stats["starts"] = Json::UInt64(aAudit.mStarts);
-  stats["rejected"] = Json::UInt64(aAudit.mRejected);
+  stats["rejected"] = Json::UInt64(aAudit.mRejectedStarts);
   stats["finished"] = Json::UInt64(aAudit.mFinished);
   stats["failed"] = Json::UInt64(aAudit.mFailed);
   stats["stopped"] = Json::UInt64(aAudit.mStopped);
-  stats["lapsed"] = Json::UInt64(aAudit.mLapsed);
-  stats["oldEpochs"] = Json::UInt64(aAudit.mOldEpochs);
-  stats["highestCommitment"] = aAudit.mHighestCommitment;
+  stats["lapsed"] = Json::UInt64(aAudit.mExpiredLeases);
+  stats["oldEpochs"] = Json::UInt64(aAudit.mStaleEpochCommands);
+  stats["highestCommitment"] = aAudit.mHighestReservedShare;
   stats["capacityViolations"] = Json::UInt64(aAudit.mCapacityViolations);
-  stats["twoPlaces"] = Json::UInt64(aAudit.mTwoPlaces);
-  stats["startsWhileOut"] = Json::UInt64(aAudit.mStartsWhileOut);
+  stats["twoPlaces"] = Json::UInt64(aAudit.mConcurrentRuns);
+  stats["startsWhileOut"] = Json::UInt64(aAudit.mStartsOutOfService);
   stats["repeatedAttempts"] = Json::UInt64(aAudit.mRepeatedAttempts);
   stats["startsAfterEnd"] = Json::UInt64(aAudit.mStartsAfterEnd);
-  stats["oldCheckpoints"] = Json::UInt64(aAudit.mOldCheckpoints);
-  stats["endedJobs"] = Json::UInt64(aAudit.mEnded.size());
+  stats["oldCheckpoints"] = Json::UInt64(aAudit.mStaleCheckpoints);
+  stats["endedJobs"] = Json::UInt64(aAudit.mAcknowledgedJobs.size());
   stats["violations"] = Json::Value(Json::arrayValue);
   for (const std::string& violation : aAudit.mViolations) {
     stats["violations"].append(violation);
--- a/Tests/StandIns/Worker/FleetService.cpp
+++ b/Tests/StandIns/Worker/FleetService.cpp
@@ -8,14 +8,16 @@
 
 namespace {
 
-/// Longer than a scheduler waits for an answer.
-constexpr Millis kSilence{ 1500 };
+/// How long a request that gets no answer keeps its connection; longer than a
+/// scheduler waits for an answer.
+constexpr Millis kUnansweredTime{ 1500 };
 
-constexpr const char* kMethods[] = { "worker.report",
-                                     "worker.start",
-                                     "worker.stop",
-                                     "worker.checkpoint",
-                                     "worker.throttle" };
+/// The RPC methods of a worker.
+constexpr const char* kWorkerMethods[] = { "worker.report",
+                                           "worker.start",
+                                           "worker.stop",
+                                           "worker.checkpoint",
+                                           "worker.throttle" };
 
 MonotonicTime
 Now()
@@ -23,6 +25,8 @@
   return std::chrono::steady_clock::now();
 }
 
+/// @return the part of the User-Agent header after the slash, which names the
+///         sender, or empty if there is none
 std::string_view
 MemberOf(const HttpRequest& aRequest)
 {
@@ -32,11 +36,12 @@
                                          : agent.substr(slash + 1);
 }
 
+/// @return the handler for requests to the worker at @p aAddress
 HttpHandler
-MakeHandlerFor(Fleet& aFleet, const std::string& aAddress)
+MakeWorkerHandler(Fleet& aFleet, const std::string& aAddress)
 {
   RpcMethods methods;
-  for (const char* method : kMethods) {
+  for (const char* method : kWorkerMethods) {
     methods[method] = [&aFleet, aAddress, method = std::string(method)](
                         const Json::Value& aParameters) {
       return aFleet.Call(aAddress, method, aParameters, Now());
@@ -52,8 +57,8 @@
   return MakeRpcHandler(methods);
 }
 
-/// Applies the faults of a worker around its handler. Faults and statistics
-/// of the stand-in itself are never disturbed.
+/// Serves a request under the injected faults of its worker. Requests of
+/// standin.fault and standin.stats are served without faults.
 HttpReply
 HandleWithFaults(Fleet& aFleet,
                  const std::string& aAddress,
@@ -63,16 +68,16 @@
   if (aRequest.mBody.find("\"standin.") != std::string::npos) {
     return aHandler(aRequest);
   }
-  const Fleet::Treatment treatment =
-    aFleet.TreatmentOf(aAddress, MemberOf(aRequest), Now());
-  if (treatment.mSilent) {
-    std::this_thread::sleep_for(kSilence);
+  const Fleet::FaultEffects effects =
+    aFleet.FaultEffectsOf(aAddress, MemberOf(aRequest), Now());
+  if (effects.mSilent) {
+    std::this_thread::sleep_for(kUnansweredTime);
     return HttpReply{ 503, {}, "silent\n" };
   }
-  std::this_thread::sleep_for(treatment.mDelay);
+  std::this_thread::sleep_for(effects.mDelay);
   HttpReply reply = aHandler(aRequest);
-  if (treatment.mLoseAnswer) {
-    std::this_thread::sleep_for(kSilence);
+  if (effects.mLoseAnswer) {
+    std::this_thread::sleep_for(kUnansweredTime);
     return HttpReply{ 503, {}, "lost\n" };
   }
   return reply;
@@ -90,11 +95,11 @@
     HttpHandler handler;
     {
       const std::lock_guard lock(*mutex);
-      HttpHandler& kept = (*handlers)[address];
-      if (!kept) {
-        kept = MakeHandlerFor(aFleet, address);
+      HttpHandler& workerHandler = (*handlers)[address];
+      if (!workerHandler) {
+        workerHandler = MakeWorkerHandler(aFleet, address);
       }
-      handler = kept;
+      handler = workerHandler;
     }
     return HandleWithFaults(aFleet, address, handler, aRequest);
   };
--- a/Tests/StandIns/Worker/Program/Main.cpp
+++ b/Tests/StandIns/Worker/Program/Main.cpp
@@ -13,6 +13,8 @@
 
 namespace {
 
+/// Prints the error.
+/// @return the exit code of a failed start
 int
 Fail(const Error& aError)
 {
@@ -30,11 +32,13 @@
   return ParseHosts(ValueOf(text).mRoot);
 }
 
-/// Serves until SIGTERM or SIGINT.
+/// Serves the workers until SIGTERM or SIGINT.
+/// @return the exit code
 int
 Serve(const std::vector<HostEntry>& aHosts, std::uint64_t aSeed, double aSpeed)
 {
-  // Blocked before any thread starts, so that only sigwait() sees them.
+  // Threads inherit the signal mask. The signals are blocked before any thread
+  // starts, so that only sigwait() receives them.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
