--- a/Tests/StandIns/Runner/Answer.cpp
+++ b/Tests/StandIns/Runner/Answer.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// 16 hexadecimal digits and a line feed.
-constexpr std::size_t kChecksumLine = 17;
+/// Length of the line with the checksum: 16 hexadecimal digits and a line feed.
+constexpr std::size_t kChecksumLineBytes = 17;
 
 std::string
 ChecksumLine(std::string_view aText)
 {
-  char line[kChecksumLine + 1];
+  char line[kChecksumLineBytes + 1];
   std::snprintf(
     line,
     sizeof line,
@@ -42,11 +42,11 @@
 std::optional<RunnerAnswer>
 DecodeAnswer(std::string_view aText)
 {
-  if (aText.size() < kChecksumLine) {
+  if (aText.size() < kChecksumLineBytes) {
     return std::nullopt;
   }
-  const std::string_view text = aText.substr(kChecksumLine);
-  if (ChecksumLine(text) != aText.substr(0, kChecksumLine)) {
+  const std::string_view text = aText.substr(kChecksumLineBytes);
+  if (ChecksumLine(text) != aText.substr(0, kChecksumLineBytes)) {
     return std::nullopt;
   }
   auto parsed = ParseJsonText("answer", std::string(text));
--- a/Tests/StandIns/Runner/HostsFile.h
+++ b/Tests/StandIns/Runner/HostsFile.h
@@ -8,7 +8,7 @@
 
 namespace paddle {
 
-/// A runner as named by a hosts file.
+/// A runner as a hosts file lists it.
 struct RunnerHost
 {
   std::string mName;
@@ -18,6 +18,7 @@
 
 /// Reads the entries of kind runner from a hosts file, which has the format of
 /// the answer of hosts.list.
+/// @return the runners; an error if the file is invalid or lists no runner
 Outcome<std::vector<RunnerHost>>
 ReadRunnerHosts(const std::string& aPath);
 
--- a/Tests/StandIns/Runner/Main.cpp
+++ b/Tests/StandIns/Runner/Main.cpp
@@ -17,10 +17,11 @@
   app.add_option("--service-ms", options.mTimes.mMeanMs, "mean service time");
   app.add_option("--sigma", options.mTimes.mSigma, "log-normal sigma");
   app.add_option("--watch-ms", watchMs, "how long a watch is held");
-  app.add_option(
-    "--watch-part", options.mTimes.mWatchPart, "part of the path of watches");
+  app.add_option("--watch-part",
+                 options.mTimes.mWatchPathPart,
+                 "part of the path of watches");
   CLI11_PARSE(app, aCount, aArguments);
-  options.mTimes.mWatch = Millis(watchMs);
+  options.mTimes.mWatchDuration = Millis(watchMs);
 
   auto hosts = ReadRunnerHosts(hostsFile);
   if (!Succeeded(hosts)) {
--- a/Tests/StandIns/Runner/RunnerControl.cpp
+++ b/Tests/StandIns/Runner/RunnerControl.cpp
@@ -12,46 +12,51 @@
 ToJson(const RunnerCounts& aCounts)
 {
   Json::Value json(Json::objectValue);
-  json["total"] = static_cast<Json::UInt64>(aCounts.mTotal);
-  json["health"] = static_cast<Json::UInt64>(aCounts.mHealth);
+  json["total"] = static_cast<Json::UInt64>(aCounts.mBegunRequests);
+  json["health"] = static_cast<Json::UInt64>(aCounts.mHealthRequests);
   json["inProgress"] = aCounts.mInProgress;
   json["highestInProgress"] = aCounts.mHighestInProgress;
   json["slotViolations"] = static_cast<Json::UInt64>(aCounts.mSlotViolations);
-  json["openConnections"] = aCounts.mOpen;
-  json["highestConnections"] = aCounts.mHighestOpen;
+  json["openConnections"] = aCounts.mOpenConnections;
+  json["highestConnections"] = aCounts.mHighestOpenConnections;
   json["connectionViolations"] =
     static_cast<Json::UInt64>(aCounts.mConnectionViolations);
-  json["whileLeaving"] = static_cast<Json::UInt64>(aCounts.mWhileLeaving);
+  json["whileLeaving"] =
+    static_cast<Json::UInt64>(aCounts.mRequestsWhileLeaving);
   json["latestWhileLeavingMs"] =
-    static_cast<Json::Int64>(aCounts.mLatestWhileLeaving.count());
+    static_cast<Json::Int64>(aCounts.mLatestRequestWhileLeaving.count());
   return json;
 }
 
-/// Adds up counts; the highest values are maxima over the runners.
+/// Adds the counts of a runner to those of all runners. A highest or latest
+/// value becomes the maximum over the runners.
 void
 AddTo(RunnerCounts& aSum, const RunnerCounts& aCounts)
 {
-  aSum.mTotal += aCounts.mTotal;
-  aSum.mHealth += aCounts.mHealth;
+  aSum.mBegunRequests += aCounts.mBegunRequests;
+  aSum.mHealthRequests += aCounts.mHealthRequests;
   aSum.mInProgress += aCounts.mInProgress;
   aSum.mHighestInProgress =
     std::max(aSum.mHighestInProgress, aCounts.mHighestInProgress);
   aSum.mSlotViolations += aCounts.mSlotViolations;
-  aSum.mOpen += aCounts.mOpen;
-  aSum.mHighestOpen = std::max(aSum.mHighestOpen, aCounts.mHighestOpen);
+  aSum.mOpenConnections += aCounts.mOpenConnections;
+  aSum.mHighestOpenConnections =
+    std::max(aSum.mHighestOpenConnections, aCounts.mHighestOpenConnections);
   aSum.mConnectionViolations += aCounts.mConnectionViolations;
-  aSum.mWhileLeaving += aCounts.mWhileLeaving;
-  aSum.mLatestWhileLeaving =
-    std::max(aSum.mLatestWhileLeaving, aCounts.mLatestWhileLeaving);
+  aSum.mRequestsWhileLeaving += aCounts.mRequestsWhileLeaving;
+  aSum.mLatestRequestWhileLeaving = std::max(
+    aSum.mLatestRequestWhileLeaving, aCounts.mLatestRequestWhileLeaving);
 }
 
+/// @return how often requests with the key were run
 std::uint64_t
-RunsOf(const RunLedger& aLedger, const std::string& aKey)
+RunCountOf(const RunCountsByKey& aRunCounts, const std::string& aKey)
 {
-  const auto found = aLedger.find(aKey);
-  return found == aLedger.end() ? 0 : found->second;
+  const auto found = aRunCounts.find(aKey);
+  return found == aRunCounts.end() ? 0 : found->second;
 }
 
+/// Serves standin.stats.
 Json::Value
 Stats(const RunnerFleet& aFleet, const Json::Value& aParameters)
 {
@@ -62,20 +67,21 @@
     AddTo(sum, runner->mCounts);
   }
   result["all"] = ToJson(sum);
-  Json::UInt64 doubled = 0;
-  for (const auto& [key, runs] : *aFleet.mLedger) {
-    doubled += runs > 1 ? 1 : 0;
+  Json::UInt64 repeatedKeys = 0;
+  for (const auto& [key, runs] : *aFleet.mRunCounts) {
+    repeatedKeys += runs > 1 ? 1 : 0;
   }
-  result["keys"] = static_cast<Json::UInt64>(aFleet.mLedger->size());
-  result["doubledKeys"] = doubled;
+  result["keys"] = static_cast<Json::UInt64>(aFleet.mRunCounts->size());
+  result["doubledKeys"] = repeatedKeys;
   result["runs"] = Json::objectValue;
   for (const Json::Value& key : aParameters["keys"]) {
     result["runs"][key.asString()] =
-      static_cast<Json::UInt64>(RunsOf(*aFleet.mLedger, key.asString()));
+      static_cast<Json::UInt64>(RunCountOf(*aFleet.mRunCounts, key.asString()));
   }
   return result;
 }
 
+/// Serves standin.fault.
 Outcome<Json::Value>
 Fault(const RunnerFleet& aFleet, const Json::Value& aParameters)
 {
--- a/Tests/StandIns/Runner/RunnerServer.cpp
+++ b/Tests/StandIns/Runner/RunnerServer.cpp
@@ -28,10 +28,11 @@
 using Request = http::request<http::string_body>;
 using Reply = http::response<http::string_body>;
 
+/// Connections that may wait to be accepted, per listening socket.
 constexpr int kBacklog = 1024;
 
 tcp::endpoint
-ToLibrary(const Endpoint& aEndpoint)
+ToAsioEndpoint(const Endpoint& aEndpoint)
 {
   return { asio::ip::make_address(aEndpoint.mHost), aEndpoint.mPort };
 }
@@ -52,16 +53,16 @@
   return reply;
 }
 
-/// Counts a connection for as long as it exists.
+/// Counts a connection as open for as long as this object exists.
 class OpenConnection
 {
 public:
   explicit OpenConnection(RunnerState& aRunner)
     : mRunner(aRunner)
   {
-    CountConnection(mRunner);
+    CountOpenedConnection(mRunner);
   }
-  ~OpenConnection() { --mRunner.mCounts.mOpen; }
+  ~OpenConnection() { --mRunner.mCounts.mOpenConnections; }
   OpenConnection(const OpenConnection&) = delete;
   OpenConnection& operator=(const OpenConnection&) = delete;
 
@@ -80,10 +81,11 @@
     std::optional<tcp::acceptor> mAcceptor;
   };
 
-  // Coroutines that the context destroys refer to the runners, and the
-  // listening sockets refer to the context; the order of members follows.
+  // The order of these members matters: the runners must outlive the context,
+  // whose destructor destroys coroutines that refer to them, and the context
+  // must outlive the listening sockets, which refer to it.
   std::vector<std::unique_ptr<RunnerState>> mRunners;
-  RunLedger mLedger;
+  RunCountsByKey mRunCounts;
   HttpHandler mControl;
   asio::io_context mContext{ 1 };
   asio::signal_set mSignals{ mContext, SIGTERM, SIGINT };
@@ -91,15 +93,16 @@
 
   void Add(const RunnerHost& aHost, const RunnerOptions& aOptions);
   void Listen(Listener& aListener);
-  void ApplyRefuse(RunnerState& aRunner);
+  void UpdateListening(RunnerState& aRunner);
   asio::awaitable<void> Accept(Listener& aListener);
   asio::awaitable<void> Serve(RunnerState& aRunner, tcp::socket aSocket);
-  asio::awaitable<bool> Answer(RunnerState& aRunner,
-                               tcp::socket& aSocket,
-                               const Request& aRequest);
-  asio::awaitable<void> Work(RunnerState& aRunner, const Request& aRequest);
-  asio::awaitable<void> StaySilent(tcp::socket& aSocket);
-  std::string ControlAnswer(const Request& aRequest) const;
+  asio::awaitable<bool> AnswerRequest(RunnerState& aRunner,
+                                      tcp::socket& aSocket,
+                                      const Request& aRequest);
+  asio::awaitable<void> RunRequest(RunnerState& aRunner,
+                                   const Request& aRequest);
+  asio::awaitable<void> ReadUntilClosed(tcp::socket& aSocket);
+  std::string AnswerControlRequest(const Request& aRequest) const;
 };
 
 void
@@ -120,7 +123,7 @@
 void
 RunnerServer::State::Listen(Listener& aListener)
 {
-  const tcp::endpoint endpoint = ToLibrary(aListener.mAddress);
+  const tcp::endpoint endpoint = ToAsioEndpoint(aListener.mAddress);
   tcp::acceptor acceptor(mContext, endpoint.protocol());
   acceptor.set_option(tcp::acceptor::reuse_address(true));
   acceptor.bind(endpoint);
@@ -129,9 +132,10 @@
   asio::co_spawn(mContext, Accept(aListener), asio::detached);
 }
 
-/// Closes or opens the listening socket as the runner's faults demand.
+/// Closes the listening socket of a runner that refuses connections, and opens
+/// it again once the fault has ended.
 void
-RunnerServer::State::ApplyRefuse(RunnerState& aRunner)
+RunnerServer::State::UpdateListening(RunnerState& aRunner)
 {
   const bool refuses = aRunner.mFaults.contains(RunnerFault::Refuse);
   for (const auto& listener : mListeners) {
@@ -158,10 +162,11 @@
         mContext, Serve(aListener.mRunner, std::move(socket)), asio::detached);
     }
   } catch (const boost::system::system_error&) {
-    // The listening socket was closed to refuse connections.
+    // UpdateListening() closed the listening socket to refuse connections.
   }
 }
 
+/// Serves the requests of a connection one after another until it is closed.
 asio::awaitable<void>
 RunnerServer::State::Serve(RunnerState& aRunner, tcp::socket aSocket)
 {
@@ -171,8 +176,8 @@
     for (;;) {
       Request request;
       co_await http::async_read(aSocket, buffer, request, use_awaitable);
-      const bool goOn = co_await Answer(aRunner, aSocket, request);
-      if (!goOn || !request.keep_alive()) {
+      const bool keepOpen = co_await AnswerRequest(aRunner, aSocket, request);
+      if (!keepOpen || !request.keep_alive()) {
         boost::system::error_code ignored;
         aSocket.shutdown(tcp::socket::shutdown_both, ignored);
         co_return;
@@ -183,29 +188,30 @@
   }
 }
 
+/// Serves a request under the runner's faults.
 /// @return whether the connection can carry another request
 asio::awaitable<bool>
-RunnerServer::State::Answer(RunnerState& aRunner,
-                            tcp::socket& aSocket,
-                            const Request& aRequest)
+RunnerServer::State::AnswerRequest(RunnerState& aRunner,
+                                   tcp::socket& aSocket,
+                                   const Request& aRequest)
 {
   const std::string target = Text(aRequest.target());
   if (target == kRpcPath) {
-    Reply reply = MakeReply(aRequest, ControlAnswer(aRequest));
+    Reply reply = MakeReply(aRequest, AnswerControlRequest(aRequest));
     co_await http::async_write(aSocket, reply, use_awaitable);
     co_return true;
   }
   const bool health = target == "/health";
   if (health) {
-    ++aRunner.mCounts.mHealth;
+    ++aRunner.mCounts.mHealthRequests;
   } else {
-    co_await Work(aRunner, aRequest);
+    co_await RunRequest(aRunner, aRequest);
   }
-  if (TakeFault(aRunner, RunnerFault::Silent)) {
-    co_await StaySilent(aSocket);
+  if (ConsumeFault(aRunner, RunnerFault::Silent)) {
+    co_await ReadUntilClosed(aSocket);
     co_return false;
   }
-  if (TakeFault(aRunner, RunnerFault::CloseAfterRead)) {
+  if (ConsumeFault(aRunner, RunnerFault::CloseAfterRead)) {
     co_return false;
   }
   RunnerAnswer answer{ aRunner.mName,
@@ -213,14 +219,15 @@
                        Text(aRequest["Idempotency-Key"]),
                        target,
                        aRequest.body() };
-  if (!health && TakeFault(aRunner, RunnerFault::WrongId)) {
+  if (!health && ConsumeFault(aRunner, RunnerFault::WrongId)) {
     answer.mRequestId = "another-" + answer.mRequestId;
     answer.mBody = "another request's body";
   }
   Reply reply = MakeReply(aRequest, EncodeAnswer(answer));
   reply.set("Paddle-Request-Id", answer.mRequestId);
-  if (!health && TakeFault(aRunner, RunnerFault::Truncated)) {
-    // The header announces the whole body, half of which follows.
+  if (!health && ConsumeFault(aRunner, RunnerFault::Truncated)) {
+    // The header announces the length of the whole body, but only half of the
+    // body follows.
     std::string body = std::move(reply.body());
     reply.body().clear();
     http::response_serializer<http::string_body> serializer(reply);
@@ -233,15 +240,16 @@
   co_return true;
 }
 
-/// Runs the request: counts it and takes its service time. A request whose
-/// connection breaks meanwhile runs to its end, as a real one may.
+/// Simulates the run of a request: counts it and waits for its service time. A
+/// request whose connection breaks meanwhile runs to its end, as may happen on
+/// a real runner.
 asio::awaitable<void>
-RunnerServer::State::Work(RunnerState& aRunner, const Request& aRequest)
+RunnerServer::State::RunRequest(RunnerState& aRunner, const Request& aRequest)
 {
   BeginRequest(aRunner, std::chrono::steady_clock::now());
   const std::string key = Text(aRequest["Idempotency-Key"]);
   if (!key.empty()) {
-    ++mLedger[key];
+    ++mRunCounts[key];
   }
   asio::steady_timer timer(mContext);
   timer.expires_after(NextServiceTime(aRunner, Text(aRequest.target())));
@@ -249,9 +257,10 @@
   EndRequest(aRunner);
 }
 
-/// Reads and discards until the peer gives up.
+/// Reads and discards data until the peer closes the connection, which makes
+/// the read throw.
 asio::awaitable<void>
-RunnerServer::State::StaySilent(tcp::socket& aSocket)
+RunnerServer::State::ReadUntilClosed(tcp::socket& aSocket)
 {
   char discarded[1024];
   for (;;) {
@@ -259,8 +268,10 @@
   }
 }
 
+/// Serves a JSON-RPC request for standin.fault or standin.stats.
+/// @return the body of the answer
 std::string
-RunnerServer::State::ControlAnswer(const Request& aRequest) const
+RunnerServer::State::AnswerControlRequest(const Request& aRequest) const
 {
   HttpRequest request{ "POST", kRpcPath, "", {}, aRequest.body() };
   return mControl(request).mBody;
@@ -290,9 +301,9 @@
     }
     fleet.mRunners.push_back(state->mRunners.back().get());
   }
-  fleet.mLedger = &state->mLedger;
+  fleet.mRunCounts = &state->mRunCounts;
   fleet.mFaultsChanged = [raw](RunnerState& aRunner) {
-    raw->ApplyRefuse(aRunner);
+    raw->UpdateListening(aRunner);
   };
   state->mControl = MakeRpcHandler(MakeRunnerMethods(fleet));
   return std::unique_ptr<RunnerServer>(new RunnerServer(std::move(state)));
--- a/Tests/StandIns/Runner/RunnerServer.h
+++ b/Tests/StandIns/Runner/RunnerServer.h
@@ -9,20 +9,22 @@
 
 namespace paddle {
 
+/// Options that apply to all runners of the process.
 struct RunnerOptions
 {
-  std::uint64_t mSeed = 1;
+  std::uint64_t mSeed = 1; ///< Each runner adds its index to this seed.
   RunnerLimits mLimits;
   ServiceTimes mTimes;
 };
 
-/// Plays many runners in one thread. It reads and writes its connections
-/// through Boost.Beast instead of LibHttp, because it must count connections
-/// and break them at exact points.
+/// Serves many simulated runners in one thread. It uses Boost.Beast instead of
+/// LibHttp, because it must count connections and break them at exact points.
 class RunnerServer
 {
 public:
-  /// Starts to listen on each runner's address.
+  /// Starts to listen on the address of each runner.
+  /// @return the server, or an error of kind Unavailable if an address can't be
+  ///         listened on
   static Outcome<std::unique_ptr<RunnerServer>> Start(
     const std::vector<RunnerHost>& aHosts,
     const RunnerOptions& aOptions);
@@ -34,7 +36,7 @@
   /// Serves until SIGTERM or SIGINT, or until Stop().
   void Run();
 
-  /// May be called from any thread.
+  /// Makes Run() return. May be called from any thread.
   void Stop();
 
 private:
--- a/Tests/StandIns/Runner/RunnerState.cpp
+++ b/Tests/StandIns/Runner/RunnerState.cpp
@@ -27,12 +27,13 @@
 }
 
 void
-CountConnection(RunnerState& aRunner)
+CountOpenedConnection(RunnerState& aRunner)
 {
   RunnerCounts& counts = aRunner.mCounts;
-  ++counts.mOpen;
-  counts.mHighestOpen = std::max(counts.mHighestOpen, counts.mOpen);
-  if (counts.mOpen > aRunner.mLimits.mConnections) {
+  ++counts.mOpenConnections;
+  counts.mHighestOpenConnections =
+    std::max(counts.mHighestOpenConnections, counts.mOpenConnections);
+  if (counts.mOpenConnections > aRunner.mLimits.mConnections) {
     ++counts.mConnectionViolations;
   }
 }
@@ -41,7 +42,7 @@
 BeginRequest(RunnerState& aRunner, MonotonicTime aNow)
 {
   RunnerCounts& counts = aRunner.mCounts;
-  ++counts.mTotal;
+  ++counts.mBegunRequests;
   ++counts.mInProgress;
   counts.mHighestInProgress =
     std::max(counts.mHighestInProgress, counts.mInProgress);
@@ -49,8 +50,8 @@
     ++counts.mSlotViolations;
   }
   if (aRunner.mLeavingSince) {
-    ++counts.mWhileLeaving;
-    counts.mLatestWhileLeaving =
+    ++counts.mRequestsWhileLeaving;
+    counts.mLatestRequestWhileLeaving =
       std::chrono::duration_cast<Millis>(aNow - *aRunner.mLeavingSince);
   }
 }
@@ -65,27 +66,27 @@
 NextServiceTime(RunnerState& aRunner, std::string_view aTarget)
 {
   const ServiceTimes& times = aRunner.mTimes;
-  if (aTarget.find(times.mWatchPart) != std::string_view::npos) {
-    return times.mWatch;
+  if (aTarget.find(times.mWatchPathPart) != std::string_view::npos) {
+    return times.mWatchDuration;
   }
   // The mean of a log-normal distribution is exp(mu + sigma^2 / 2).
   const double mu = std::log(times.mMeanMs) - times.mSigma * times.mSigma / 2;
   std::lognormal_distribution<double> distribution(mu, times.mSigma);
   double ms = distribution(aRunner.mRandom);
-  if (const auto slow = TakeFault(aRunner, RunnerFault::Slow)) {
-    ms *= slow->mFactor;
+  if (const auto slow = ConsumeFault(aRunner, RunnerFault::Slow)) {
+    ms *= slow->mSlowFactor;
   }
   return Micros(static_cast<Micros::rep>(ms * 1000));
 }
 
 std::optional<ActiveFault>
-TakeFault(RunnerState& aRunner, RunnerFault aFault)
+ConsumeFault(RunnerState& aRunner, RunnerFault aFault)
 {
   const auto found = aRunner.mFaults.find(aFault);
-  if (found == aRunner.mFaults.end() || found->second.mRemaining == 0) {
+  if (found == aRunner.mFaults.end() || found->second.mRemainingRequests == 0) {
     return std::nullopt;
   }
-  --found->second.mRemaining;
+  --found->second.mRemainingRequests;
   return found->second;
 }
 
