--- a/Tests/StandIns/Caller/Accounting.cpp
+++ b/Tests/StandIns/Caller/Accounting.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr Millis kCallTimeout{ 10000 };
-constexpr Millis kPoll{ 50 };
-/// Keys per question, so that bodies stay below 100 KB.
+constexpr Millis kIdlePollInterval{ 50 };
+/// Idempotency keys per RPC, so that the bodies stay below 100 KB.
 constexpr std::size_t kKeysPerCall = 2000;
 
 Outcome<Json::Value>
@@ -23,10 +23,12 @@
   return CallRpc(aClient, aRunner, "standin.stats", aParameters, kCallTimeout);
 }
 
+/// Polls the runners until they have no request in progress or the time is up.
+/// @return the latest statistics
 Outcome<Json::Value>
-WaitUntilIdle(HttpClient& aClient, const Endpoint& aRunner, Millis aLimit)
+WaitUntilIdle(HttpClient& aClient, const Endpoint& aRunner, Millis aIdleTimeout)
 {
-  const MonotonicTime end = std::chrono::steady_clock::now() + aLimit;
+  const MonotonicTime end = std::chrono::steady_clock::now() + aIdleTimeout;
   for (;;) {
     auto stats = AskStats(aClient, aRunner, Json::Value(Json::objectValue));
     if (!Succeeded(stats) ||
@@ -34,31 +36,35 @@
         std::chrono::steady_clock::now() > end) {
       return stats;
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kIdlePollInterval);
   }
 }
 
+/// Adds one order to the report.
+/// @param aRuns how often the order was run
 void
-Compare(const OrderRecord& aOrder,
-        std::uint64_t aRuns,
-        AccountingReport& aReport)
+CompareOrder(const OrderRecord& aOrder,
+             std::uint64_t aRuns,
+             AccountingReport& aReport)
 {
-  const bool surelyNotRun = aOrder.mResult == CallResult::Refused ||
-                            aOrder.mResult == CallResult::NotSent;
-  aReport.mLost += aOrder.mResult == CallResult::Answered && aRuns == 0;
-  aReport.mRefusedRun += surelyNotRun && !aOrder.mDoubtful && aRuns > 0;
-  aReport.mDoubled += aRuns > 1;
+  const bool reportedNotRun = aOrder.mResult == CallResult::Refused ||
+                              aOrder.mResult == CallResult::NotSent;
+  aReport.mAnsweredNotRun +=
+    aOrder.mResult == CallResult::Answered && aRuns == 0;
+  aReport.mRunThoughRefused +=
+    reportedNotRun && !aOrder.mSomeTryMayHaveRun && aRuns > 0;
+  aReport.mRunRepeatedly += aRuns > 1;
 }
 
 } // namespace
 
 Outcome<AccountingReport>
-Account(const std::vector<OrderRecord>& aOrders,
-        const Endpoint& aRunner,
-        Millis aLimit)
+CompareWithRunners(const std::vector<OrderRecord>& aOrders,
+                   const Endpoint& aRunner,
+                   Millis aIdleTimeout)
 {
   HttpClient client({});
-  auto idle = WaitUntilIdle(client, aRunner, aLimit);
+  auto idle = WaitUntilIdle(client, aRunner, aIdleTimeout);
   if (!Succeeded(idle)) {
     return ErrorOf(idle);
   }
@@ -79,7 +85,7 @@
       return ErrorOf(stats);
     }
     for (std::size_t i = first; i < last; ++i) {
-      Compare(
+      CompareOrder(
         aOrders[i], ValueOf(stats)["runs"][aOrders[i].mKey].asUInt64(), report);
     }
   }
--- a/Tests/StandIns/Caller/Accounting.h
+++ b/Tests/StandIns/Caller/Accounting.h
@@ -9,23 +9,32 @@
 
 namespace paddle {
 
-/// What the callers saw, compared with what the runners ran.
+/// Counts from a comparison of the orders' results, as their caller saw them,
+/// with the runs that the runners counted, and the violations that the runners
+/// saw.
 struct AccountingReport
 {
-  std::uint64_t mLost = 0;       ///< Answered, yet never run.
-  std::uint64_t mRefusedRun = 0; ///< Every try refused or not sent, yet run.
-  std::uint64_t mDoubled = 0;    ///< Run more than once.
+  std::uint64_t mAnsweredNotRun = 0; ///< Orders answered, but never run.
+  /// Orders run, although every try was refused or not sent.
+  std::uint64_t mRunThoughRefused = 0;
+  std::uint64_t mRunRepeatedly = 0; ///< Orders run more than once.
+  /// Counts of all runners, as standin.stats reports them.
   std::uint64_t mSlotViolations = 0;
   std::uint64_t mConnectionViolations = 0;
   unsigned mHighestInProgress = 0;
   unsigned mHighestConnections = 0;
 };
 
-/// Asks the runner stand-in how often each order ran. Waits first, at most
-/// @p aLimit, until the runners have nothing in progress.
+/// Asks the runner stand-in how often each order was run and compares the
+/// counts with the results of the orders. Waits first until the runners have no
+/// request in progress.
+/// @param aRunner      address of any runner of the stand-in
+/// @param aIdleTimeout longest time to wait for the requests in progress; then
+///                     the comparison is made nevertheless
+/// @return the counts, or an error if the runner can't be asked
 Outcome<AccountingReport>
-Account(const std::vector<OrderRecord>& aOrders,
-        const Endpoint& aRunner,
-        Millis aLimit);
+CompareWithRunners(const std::vector<OrderRecord>& aOrders,
+                   const Endpoint& aRunner,
+                   Millis aIdleTimeout);
 
 } // namespace paddle
--- a/Tests/StandIns/Caller/CallSender.cpp
+++ b/Tests/StandIns/Caller/CallSender.cpp
@@ -24,7 +24,7 @@
 constexpr Millis kHealthTimeout{ 500 };
 
 tcp::endpoint
-ToLibrary(const Endpoint& aEndpoint)
+ToAsioEndpoint(const Endpoint& aEndpoint)
 {
   return { asio::ip::make_address(aEndpoint.mHost), aEndpoint.mPort };
 }
@@ -38,7 +38,7 @@
     aCall.mKind == CallKind::Order ? http::verb::post : http::verb::get;
   Request request(verb, aRoute.mPrefix + aCall.mTarget, 11);
   request.set(http::field::host, ToText(aGateway));
-  request.set("Paddle-Customer", aRoute.mCustomer);
+  request.set("Paddle-Customer", aRoute.mClientAccount);
   if (!aCall.mKey.empty()) {
     request.set("Idempotency-Key", aCall.mKey);
   }
@@ -51,6 +51,8 @@
   return request;
 }
 
+/// @return whether a successful reply belongs to the call. A watch may also end
+///         with "Paddle-Watch: again", by which the gateway asks for a repeat.
 bool
 IsOwnAnswer(const Reply& aReply, const PlannedCall& aCall)
 {
@@ -62,8 +64,9 @@
          answer->mKey == aCall.mKey && answer->mBody == aCall.mBody;
 }
 
+/// @return the result of a try that got a complete HTTP reply
 CallReply
-Judge(const Reply& aReply, const PlannedCall& aCall)
+ClassifyReply(const Reply& aReply, const PlannedCall& aCall)
 {
   const beast::string_view outcome = aReply["Paddle-Outcome"];
   const std::string detail = std::to_string(aReply.result_int()) + " " +
@@ -119,16 +122,16 @@
   CallResult failure = CallResult::NotSent;
   try {
     stream.expires_after(kConnectTimeout);
-    co_await stream.async_connect(ToLibrary(aGateway), use_awaitable);
+    co_await stream.async_connect(ToAsioEndpoint(aGateway), use_awaitable);
     stream.socket().set_option(tcp::no_delay(true));
     failure = CallResult::Broken;
-    stream.expires_after(aRoute.mPatience);
+    stream.expires_after(aRoute.mAnswerTimeout);
     const Request request = MakeRequest(aRoute, aCall, aGateway);
     co_await http::async_write(stream, request, use_awaitable);
     beast::flat_buffer buffer;
     Reply reply;
     co_await http::async_read(stream, buffer, reply, use_awaitable);
-    co_return Judge(reply, aCall);
+    co_return ClassifyReply(reply, aCall);
   } catch (const boost::system::system_error& e) {
     if (e.code() == beast::error::timeout && failure == CallResult::Broken) {
       failure = CallResult::TimedOut;
@@ -143,7 +146,7 @@
   beast::tcp_stream stream(co_await asio::this_coro::executor);
   try {
     stream.expires_after(kHealthTimeout);
-    co_await stream.async_connect(ToLibrary(aGateway), use_awaitable);
+    co_await stream.async_connect(ToAsioEndpoint(aGateway), use_awaitable);
     Request request(http::verb::get, "/savorypaddle/health", 11);
     request.set(http::field::host, ToText(aGateway));
     request.keep_alive(false);
--- a/Tests/StandIns/Caller/LoadPlan.cpp
+++ b/Tests/StandIns/Caller/LoadPlan.cpp
@@ -64,7 +64,7 @@
 Micros
 LoadPlan::NextGap()
 {
-  std::exponential_distribution<double> gaps(mOptions.mRate);
+  std::exponential_distribution<double> gaps(mOptions.mCallsPerSecond);
   return Micros(static_cast<Micros::rep>(gaps(mRandom) * 1e6));
 }
 
--- a/Tests/StandIns/Caller/LoadPlan.h
+++ b/Tests/StandIns/Caller/LoadPlan.h
@@ -9,14 +9,15 @@
 
 namespace paddle {
 
+/// Kinds of calls.
 enum class CallKind
 {
-  Order, ///< POST, not idempotent, with a key of its own.
+  Order, ///< POST, not idempotent, with its own Idempotency-Key.
   Read,  ///< GET, idempotent.
-  Watch  ///< GET, held open.
+  Watch  ///< GET, held open by the runner.
 };
 
-/// Shares of the kinds of calls; they need not add up to 1.
+/// Weights of the kinds of calls; only their ratios matter.
 struct CallMix
 {
   double mOrders = 30;
@@ -24,15 +25,18 @@
   double mWatches = 0;
 };
 
-/// Parses "orders=30,reads=69,watches=1".
+/// Parses a mix such as "orders=30,reads=69,watches=1". A kind that is left out
+/// has the weight 0.
 Outcome<CallMix>
 ParseCallMix(const std::string& aText);
 
+/// Options of a load plan.
 struct PlanOptions
 {
   std::uint64_t mSeed = 1;
-  std::string mName = "caller"; ///< Part of each key; unique among callers.
-  double mRate = 100;           ///< Calls per second.
+  /// Part of each idempotency key; must be unique among callers.
+  std::string mName = "caller";
+  double mCallsPerSecond = 100; ///< Mean rate.
   CallMix mMix;
   std::string mOrderPath = "/orders";
   std::string mReadPath = "/stock";
@@ -43,26 +47,28 @@
 struct PlannedCall
 {
   CallKind mKind = CallKind::Read;
-  std::string mTarget; ///< Path and query as the runner gets it.
-  std::string mKey;    ///< Empty unless an order.
+  std::string mTarget; ///< Path and query as the runner receives them.
+  std::string mKey;    ///< Idempotency key; empty unless it is an order.
   std::string mBody;
 };
 
-/// A seeded sequence of calls with random gaps (a Poisson process), so that
-/// the load does not depend on how fast answers come.
+/// A seeded sequence of calls with exponentially distributed gaps (a Poisson
+/// process). This makes the load open-loop: it does not depend on how fast
+/// answers arrive.
 class LoadPlan
 {
 public:
   explicit LoadPlan(PlanOptions aOptions);
 
+  /// Draws the kind of the next call and makes the call.
   PlannedCall NextCall();
-  /// @return the time between the last call and the next
+  /// Draws the time between the previous call and the next one.
   Micros NextGap();
 
 private:
   PlanOptions mOptions;
   std::mt19937_64 mRandom;
-  std::uint64_t mSequence = 0;
+  std::uint64_t mSequence = 0; ///< Number of the latest call.
 };
 
 } // namespace paddle
--- a/Tests/StandIns/Caller/LoadRun.cpp
+++ b/Tests/StandIns/Caller/LoadRun.cpp
@@ -20,32 +20,36 @@
 
 constexpr Millis kHealthInterval{ 100 };
 constexpr Millis kRetryBackoff{ 200 };
-constexpr std::size_t kMostDetails = 20;
+/// Different details that a report counts; others are left out.
+constexpr std::size_t kMaxDetails = 20;
 
-/// Whether the request may have been run although no answer came.
+/// @return whether a request with this result may have been run, although its
+///         caller got no valid answer
 bool
-IsDoubtful(CallResult aResult)
+MayHaveRun(CallResult aResult)
 {
   return aResult == CallResult::Unknown || aResult == CallResult::Broken ||
          aResult == CallResult::TimedOut || aResult == CallResult::Wrong;
 }
 
-class Load
+/// Sends one open-loop load in a single thread.
+class LoadGenerator
 {
 public:
-  explicit Load(const LoadOptions& aOptions)
+  explicit LoadGenerator(const LoadOptions& aOptions)
     : mOptions(aOptions)
     , mPlan(aOptions.mPlan)
     , mPicker(aOptions.mTargets)
   {
   }
 
+  /// Sends the load and waits until every call has ended.
   LoadReport Run()
   {
     for (std::size_t i = 0; i < mOptions.mTargets.size(); ++i) {
       asio::co_spawn(mContext, WatchHealth(i), asio::detached);
     }
-    asio::co_spawn(mContext, Start(), asio::detached);
+    asio::co_spawn(mContext, StartCalls(), asio::detached);
     mContext.run();
     return std::move(mReport);
   }
@@ -57,8 +61,10 @@
     co_await timer.async_wait(use_awaitable);
   }
 
-  [[nodiscard]] bool Ended() const { return mPlanned && mInFlight == 0; }
+  /// @return whether all calls have been started and have ended
+  [[nodiscard]] bool Ended() const { return mAllStarted && mInFlight == 0; }
 
+  /// Checks the health of a gateway periodically until the load has ended.
   asio::awaitable<void> WatchHealth(std::size_t aGateway)
   {
     while (!Ended()) {
@@ -69,12 +75,13 @@
     }
   }
 
-  /// Starts each call at its planned time, whatever became of earlier ones.
-  asio::awaitable<void> Start()
+  /// Starts each call at its planned time, whether or not earlier ones have
+  /// ended.
+  asio::awaitable<void> StartCalls()
   {
     MonotonicTime due = std::chrono::steady_clock::now();
     const MonotonicTime end =
-      due + Micros(static_cast<Micros::rep>(mOptions.mSeconds * 1e6));
+      due + Micros(static_cast<Micros::rep>(mOptions.mDurationSeconds * 1e6));
     for (due += mPlan.NextGap(); due < end; due += mPlan.NextGap()) {
       co_await Sleep(due);
       ++mReport.mPlanned;
@@ -84,34 +91,37 @@
         continue;
       }
       ++mInFlight;
-      asio::co_spawn(mContext, Call(std::move(call), due), asio::detached);
+      asio::co_spawn(mContext, RunCall(std::move(call), due), asio::detached);
     }
-    mPlanned = true;
+    mAllStarted = true;
   }
 
-  asio::awaitable<void> Call(PlannedCall aCall, MonotonicTime aDue)
+  /// Sends a call, repeats it while it may have run, and records the result.
+  /// @param aDue the planned start of the call
+  asio::awaitable<void> RunCall(PlannedCall aCall, MonotonicTime aDue)
   {
     OrderRecord record{ aCall.mKey, CallResult::NotSent, false };
     for (unsigned tries = 0;; ++tries) {
-      const CallReply reply = co_await Try(aCall);
+      const CallReply reply = co_await SendToAnyTarget(aCall);
       record.mResult = reply.mResult;
-      NoteDetail(reply);
-      if (!IsDoubtful(reply.mResult)) {
+      CountDetail(reply);
+      if (!MayHaveRun(reply.mResult)) {
         break;
       }
-      record.mDoubtful = true;
+      record.mSomeTryMayHaveRun = true;
       if (tries == mOptions.mRetries) {
         break;
       }
       ++mReport.mRetried;
       co_await Sleep(std::chrono::steady_clock::now() + kRetryBackoff);
     }
-    Note(aCall, record, aDue);
+    RecordResult(aCall, record, aDue);
     --mInFlight;
   }
 
-  /// Tries gateways until one accepts the connection.
-  asio::awaitable<CallReply> Try(const PlannedCall& aCall)
+  /// Tries one target after another until one accepts the connection. A target
+  /// that does not is marked as down.
+  asio::awaitable<CallReply> SendToAnyTarget(const PlannedCall& aCall)
   {
     CallReply reply{ CallResult::NotSent, "no gateway is up" };
     for (std::size_t i = 0; i < mOptions.mTargets.size(); ++i) {
@@ -129,22 +139,24 @@
     co_return reply;
   }
 
-  void NoteDetail(const CallReply& aReply)
+  /// Counts the detail of a try that was not answered.
+  void CountDetail(const CallReply& aReply)
   {
     if (aReply.mResult == CallResult::Answered) {
       return;
     }
     const std::string detail =
       std::string(NameOf(aReply.mResult)) + ": " + aReply.mDetail;
-    if (mReport.mDetails.size() < kMostDetails ||
+    if (mReport.mDetails.size() < kMaxDetails ||
         mReport.mDetails.contains(detail)) {
       ++mReport.mDetails[detail];
     }
   }
 
-  void Note(const PlannedCall& aCall,
-            const OrderRecord& aRecord,
-            MonotonicTime aDue)
+  /// Adds a call that has ended to the report.
+  void RecordResult(const PlannedCall& aCall,
+                    const OrderRecord& aRecord,
+                    MonotonicTime aDue)
   {
     ++mReport.mResults[aRecord.mResult];
     if (aCall.mKind == CallKind::Order) {
@@ -166,7 +178,7 @@
   GatewayPicker mPicker;
   LoadReport mReport;
   unsigned mInFlight = 0;
-  bool mPlanned = false; ///< All calls have been started.
+  bool mAllStarted = false; ///< All calls have been started.
   asio::io_context mContext{ 1 };
 };
 
@@ -175,7 +187,7 @@
 LoadReport
 RunLoad(const LoadOptions& aOptions)
 {
-  return Load(aOptions).Run();
+  return LoadGenerator(aOptions).Run();
 }
 
 Micros
--- a/Tests/StandIns/Caller/Main.cpp
+++ b/Tests/StandIns/Caller/Main.cpp
@@ -9,22 +9,27 @@
 
 namespace {
 
-constexpr Millis kAccountLimit{ 30000 };
+/// Longest time to wait after the load until the runners have no request in
+/// progress.
+constexpr Millis kIdleTimeout{ 30000 };
 
+/// The command-line arguments as given; CompleteOptions() parses them into
+/// mLoad.
 struct Arguments
 {
   std::vector<std::string> mGateways;
   std::vector<std::string> mDirect;
   std::string mService;
   std::string mMix = "orders=30,reads=70";
-  std::string mAccount;
-  unsigned mPatienceMs = 5000;
+  std::string mAccountingRunner;
+  unsigned mAnswerTimeoutMs = 5000;
   LoadOptions mLoad;
 };
 
-/// Completes the load options; returns a problem or an empty text.
+/// Fills in the load options that need parsing.
+/// @return a description of the first invalid argument, or an empty text
 std::string
-Complete(Arguments& aArguments)
+CompleteOptions(Arguments& aArguments)
 {
   LoadOptions& load = aArguments.mLoad;
   load.mDirect = !aArguments.mDirect.empty();
@@ -46,10 +51,11 @@
   }
   load.mPlan.mMix = ValueOf(mix);
   load.mRoute.mPrefix = load.mDirect ? "" : "/" + aArguments.mService;
-  load.mRoute.mPatience = Millis(aArguments.mPatienceMs);
+  load.mRoute.mAnswerTimeout = Millis(aArguments.mAnswerTimeoutMs);
   return {};
 }
 
+/// @return how many calls ended with the result
 std::uint64_t
 CountOf(const LoadReport& aReport, CallResult aResult)
 {
@@ -57,6 +63,7 @@
   return found == aReport.mResults.end() ? 0 : found->second;
 }
 
+/// @return the key=value fields of the load
 std::string
 Summary(const LoadReport& aReport)
 {
@@ -81,21 +88,25 @@
       { "longest_refusal_us", aReport.mLongestRefusal.count() } });
 }
 
+/// @return the key=value fields of the comparison with the runners
 std::string
 Summary(const AccountingReport& aReport)
 {
   return FormatFields(
-    { { "lost", aReport.mLost },
-      { "refused_run", aReport.mRefusedRun },
-      { "doubled", aReport.mDoubled },
+    { { "lost", aReport.mAnsweredNotRun },
+      { "refused_run", aReport.mRunThoughRefused },
+      { "doubled", aReport.mRunRepeatedly },
       { "slot_violations", aReport.mSlotViolations },
       { "highest_in_progress", aReport.mHighestInProgress },
       { "connection_violations", aReport.mConnectionViolations },
       { "highest_connections", aReport.mHighestConnections } });
 }
 
-/// Runs the load and prints its line.
-/// @return the exit code: 0 only if nothing was lost, doubled or wrong
+/// Sends the load, compares it with the runners' counts if --account is given,
+/// and prints one line of key=value fields.
+/// @return the exit code: 0 if no answer was wrong and the comparison found no
+///         order lost, run though refused or run repeatedly; otherwise 1, or 2
+///         if the comparison could not be made
 int
 RunAndPrint(const Arguments& aArguments)
 {
@@ -108,21 +119,22 @@
   }
   std::string line = Summary(report);
   bool good = CountOf(report, CallResult::Wrong) == 0;
-  if (!aArguments.mAccount.empty()) {
-    auto runner = ParseEndpoint(aArguments.mAccount);
+  if (!aArguments.mAccountingRunner.empty()) {
+    auto runner = ParseEndpoint(aArguments.mAccountingRunner);
     if (!Succeeded(runner)) {
       std::fprintf(stderr, "%s\n", ErrorOf(runner).mMessage.c_str());
       return 2;
     }
-    auto account = Account(report.mOrders, ValueOf(runner), kAccountLimit);
+    auto account =
+      CompareWithRunners(report.mOrders, ValueOf(runner), kIdleTimeout);
     if (!Succeeded(account)) {
       std::fprintf(stderr, "%s\n", ErrorOf(account).mMessage.c_str());
       return 2;
     }
     const AccountingReport& found = ValueOf(account);
     line += " " + Summary(found);
-    good =
-      good && found.mLost == 0 && found.mRefusedRun == 0 && found.mDoubled == 0;
+    good = good && found.mAnsweredNotRun == 0 && found.mRunThoughRefused == 0 &&
+           found.mRunRepeatedly == 0;
   }
   std::printf("%s\n", line.c_str());
   return good ? 0 : 1;
@@ -142,8 +154,8 @@
   app.add_option("--direct", arguments.mDirect, "runners to call directly")
     ->delimiter(',');
   app.add_option("--service", arguments.mService, "service to call");
-  app.add_option("--rate", load.mPlan.mRate, "calls per second");
-  app.add_option("--seconds", load.mSeconds, "length of the load");
+  app.add_option("--rate", load.mPlan.mCallsPerSecond, "calls per second");
+  app.add_option("--seconds", load.mDurationSeconds, "length of the load");
   app.add_option("--concurrency", load.mConcurrency, "most calls in flight");
   app.add_option("--retries", load.mRetries, "repeats after doubtful ends");
   app.add_option("--seed", load.mPlan.mSeed, "seed of the load");
@@ -152,12 +164,14 @@
   app.add_option("--order-path", load.mPlan.mOrderPath, "path of orders");
   app.add_option("--read-path", load.mPlan.mReadPath, "path of reads");
   app.add_option("--watch-path", load.mPlan.mWatchPath, "path of watches");
-  app.add_option("--customer", load.mRoute.mCustomer, "customer name");
+  app.add_option("--customer", load.mRoute.mClientAccount, "customer name");
   app.add_option("--deadline-ms", load.mRoute.mDeadlineMs, "short deadline");
-  app.add_option("--patience-ms", arguments.mPatienceMs, "caller's time-out");
-  app.add_option("--account", arguments.mAccount, "a runner to ask for runs");
+  app.add_option(
+    "--patience-ms", arguments.mAnswerTimeoutMs, "caller's time-out");
+  app.add_option(
+    "--account", arguments.mAccountingRunner, "a runner to ask for runs");
   CLI11_PARSE(app, aCount, aArguments);
-  const std::string problem = Complete(arguments);
+  const std::string problem = CompleteOptions(arguments);
   if (!problem.empty()) {
     std::fprintf(stderr, "%s\n", problem.c_str());
     return 2;
